--- a/src/control/duties.rs
+++ b/src/control/duties.rs
@@ -13,7 +13,7 @@
 use crate::ids::{BackendId, Term, Window};
 use crate::node::Node;
 use crate::platform::client::{Client, Duty, DutyAnswer};
-use crate::relay::listing::Unread;
+use crate::relay::listing::UnreadableEntry;
 use crate::relay::usage::window_at;
 use crate::settings::CloudSettings;
 use crate::state::usage::Settle;
@@ -100,7 +100,7 @@
     match client.list(CLOUD_TIME).await {
         Ok(listing) => node.with_lead(term, |lead| {
             let now = Instant::now();
-            let version = lead.list.put(term, listing, now);
+            let version = lead.list.apply_listing(term, listing, now);
             for unread in lead.first_unread() {
                 say_unread(node, &unread);
             }
@@ -113,7 +113,7 @@
                 lead.quarantine.record_leaving(going, now);
                 node.listed.notify_waiters();
                 tracing::info!(
-                    event = "list_read", term = %term, place = version.place, servers = count, leaving,
+                    event = "list_read", term = %term, place = version.sequence, servers = count, leaving,
                     releases = lead.list.releases(),
                 );
             }
@@ -123,7 +123,7 @@
             // What was read stands; what boxes said of lives since goes out all the same.
             node.with_lead(term, |lead| {
                 if lead.list.is_stale() {
-                    lead.list.renew(term, Instant::now());
+                    lead.list.rebuild(term, Instant::now());
                 }
             });
         }
@@ -131,11 +131,11 @@
 }
 
 /// Counts an entry that names no server, and says what is wrong with it.
-fn say_unread(node: &Node, unread: &Unread) {
-    node.metrics.count_unread_entry(unread.fault.name());
+fn say_unread(node: &Node, unread: &UnreadableEntry) {
+    node.metrics.count_unread_entry(unread.error.label());
     tracing::warn!(
         event = "list_entry_unread", backend_server = unread.id.as_ref().map(BackendId::as_str),
-        addr = unread.addr.map(|addr| addr.to_string()), reason = %unread.fault,
+        addr = unread.addr.map(|addr| addr.to_string()), reason = %unread.error,
     );
 }
 
--- a/src/control/fetch.rs
+++ b/src/control/fetch.rs
@@ -9,7 +9,7 @@
 use crate::group::access::Access;
 use crate::relay::Relay;
 use crate::relay::list::PackedParts;
-use crate::relay::list_registry::PARTS_LIMIT;
+use crate::relay::list_registry::MAX_PARTS_PER_ANSWER;
 
 /// How long an answer may take: 50 KB beside a box's traffic on a link of 10 Mbit/s, and the search for
 /// the leader.
@@ -27,7 +27,7 @@
             relay.wanted.notified().await;
             continue;
         }
-        wanted.truncate(PARTS_LIMIT);
+        wanted.truncate(MAX_PARTS_PER_ANSWER);
         let came = match access.list_parts(&wanted, ANSWER_TIME).await {
             Ok(packed) => put(&relay, &packed),
             Err(error) => {
--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -34,7 +34,7 @@
 use crate::platform::client::Order;
 use crate::relay::list::{ContentHash, IncarnationReport, PackedParts, PartId, Server};
 use crate::relay::list_registry::ListRegistry;
-use crate::relay::listing::Unread;
+use crate::relay::listing::UnreadableEntry;
 use crate::relay::part_loads::{self, PartLoads};
 use crate::relay::table::RouteTable;
 use crate::settings::CloudSettings;
@@ -115,7 +115,7 @@
     /// Services that are listed and were not published when their release was noted.
     unnamed: BTreeSet<ServiceName>,
     /// The entries that cannot be read and were said.
-    unread: BTreeSet<Unread>,
+    unread: BTreeSet<UnreadableEntry>,
     /// What backend servers told the relays of their loads.
     pub(super) loads: LoadPool,
     pub(super) settled: Window,
@@ -202,10 +202,10 @@
         let word = BoxState { heard: now, document: beat.document, offered: beat.offered, told };
         self.words.insert(key, word);
         let relays = self.presence.relays(now);
-        let index = self.is_informed().then(|| self.list.index_at(&box_id, own.as_ref()));
+        let index = self.is_informed().then(|| self.list.index_for_location(&box_id, own.as_ref()));
         let parts = index.as_ref().map(|index| self.list.listed_parts(index)).unwrap_or_default();
         let loads = self.draw_loads(&parts, now, before);
-        let list = index.filter(|index| beat.list != Some(index.print));
+        let list = index.filter(|index| beat.list != Some(index.hash));
         let engines = self.spread.news(&self.engines, beat.models);
         HeartbeatReply {
             list,
@@ -264,9 +264,9 @@
     }
 
     /// The entries of the last reading of the list that cannot be read, each said once in a term.
-    pub(super) fn first_unread(&mut self) -> Vec<Unread> {
+    pub(super) fn first_unread(&mut self) -> Vec<UnreadableEntry> {
         let mut first = Vec::new();
-        for unread in self.list.unread() {
+        for unread in self.list.unreadable() {
             if self.unread.len() < UNREAD_LIMIT && self.unread.insert(unread.clone()) {
                 first.push(unread.clone());
             }
@@ -526,7 +526,7 @@
     wanted: Vec<PartId>,
 ) -> Result<PackedParts, Unanswered> {
     let term = node.leading_term().await.ok_or(Unanswered::NotLeader(None))?;
-    Ok(node.with_lead(term, |lead| lead.list.packed_contents(&wanted, Instant::now())))
+    Ok(node.with_lead(term, |lead| lead.list.packed_parts(&wanted, Instant::now())))
 }
 
 pub(super) fn tolerance(node: &Node) -> Tolerance {
--- a/src/control/rollouts.rs
+++ b/src/control/rollouts.rs
@@ -258,7 +258,7 @@
             return Some(Command::NoteReleases(running));
         }
         let list = &lead.list;
-        let is_ready = |order: &RolloutOrder| list.serves(&order.service, &order.release);
+        let is_ready = |order: &RolloutOrder| list.can_serve(&order.service, &order.release);
         let (step, facts) = lead.rollouts.next(now, UnixMillis::now().0, limit, is_ready)?;
         tracing::info!(
             event = "rollout_step", service = %step.service, phase = %step.phase, exposed = step.exposed,
--- a/src/relay/known.rs
+++ b/src/relay/known.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::watch;
 
-use super::list::{Listed, Server};
+use super::list::{ListedServer, Server};
 use crate::blackboard::fleet::{BackendState, FlightGuard, Leaving};
 use crate::decide::choose::LoadEstimate;
 use crate::decide::lives::{Heard, Life, Speaker};
@@ -164,22 +164,22 @@
 pub(super) fn update(
     before: Option<&Arc<Known>>,
     life: Option<Life>,
-    listed: &Listed,
+    listed: &ListedServer,
 ) -> Arc<Known> {
     let now = UnixMillis::now();
     let mut life = life.unwrap_or_else(|| Life::seen_at(now));
-    let heard = life.hear(listed.life, Speaker::Other, now);
+    let heard = life.hear(listed.incarnation, Speaker::Other, now);
     let Some(known) = before else {
         return Arc::new(Known::fresh(listed.server.clone(), life));
     };
     if heard == Heard::Earlier {
         return known.clone();
     }
-    let is_named = !listed.life.is_none() && listed.life == known.life();
+    let is_named = !listed.incarnation.is_none() && listed.incarnation == known.life();
     // A server keeps its address for its life, so at another address it is another one, told or not.
     let moved = known.server.addr != listed.server.addr && !is_named;
     if heard == Heard::Another || moved {
-        if moved && listed.life.is_none() {
+        if moved && listed.incarnation.is_none() {
             life.restart(now);
         }
         end(known, &life);
--- a/src/relay/list.rs
+++ b/src/relay/list.rs
@@ -1,10 +1,10 @@
-//! The list of backend servers on its way from the leader to the boxes.
+//! The wire types that carry the list of backend servers from the leader to the boxes.
 //!
-//! The list goes out in parts, each the servers of one service in one data centre that share the first
-//! bits of their ids' hashes. A box is told by an index which parts it is to hold and the print of each
-//! one's content, and fetches only those that it does not have. A part stays valid whoever leads and
-//! whatever else changes, so a box that was told of another leader, or missed some changes, asks for
-//! what differs and no more.
+//! The list is split into parts. A part holds the servers of one service in one data centre whose
+//! id hashes share a prefix. The leader sends each box an index: the parts that the box must hold
+//! and the content hash of each. The box fetches only the parts that it lacks or that have changed.
+//! A part's validity depends only on its content, so after a change of leader or missed updates a
+//! box still fetches only the differences.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -22,32 +22,38 @@
 /// A backend server as the platform lists it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Server {
-    /// Its id, which a later start may have again.
+    /// Its id, which the platform may reuse for a later incarnation.
     pub id: BackendId,
-    /// Its service.
+    /// The service it belongs to.
     pub service: ServiceName,
-    /// Where it is reached. An address may pass to another server.
+    /// Its address. The platform may later assign the address to another server.
     pub addr: SocketAddr,
-    /// Its data centre.
+    /// The data centre it runs in.
     pub data_centre: DataCentre,
-    /// The release of its software.
+    /// The release of the software it runs.
     pub release: Release,
-    /// Requests it runs at the same time.
+    /// How many requests it runs concurrently.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// When it goes, counted from the listing, where that is known.
+    /// Time until it shuts down, measured from the listing, if known.
     pub leaves_in: Option<Millis>,
-    /// Whether it may be reclaimed.
+    /// Whether it runs on a spot machine, which the cloud may reclaim.
     pub spot: bool,
 }
 
 impl Server {
-    /// Whether a later listing says the same of it, `passed` of the time left being over.
-    pub(super) fn is_again(&self, later: &Self, passed: Duration, slack: Duration) -> bool {
+    /// Whether `later` describes the same state, where `elapsed` has passed between the two
+    /// listings. Their shutdown times may differ by `tolerance`.
+    pub(super) fn is_unchanged_in(
+        &self,
+        later: &Self,
+        elapsed: Duration,
+        tolerance: Duration,
+    ) -> bool {
         let left = match (self.leaves_in, later.leaves_in) {
             (Some(old), Some(new)) => {
-                old.duration().saturating_sub(passed).abs_diff(new.duration()) <= slack
+                old.duration().saturating_sub(elapsed).abs_diff(new.duration()) <= tolerance
             }
             (old, new) => old == new,
         };
@@ -62,41 +68,44 @@
     }
 }
 
-/// A listed server in the life in which the leader knows it; the platform tells no lives.
+/// A listed server with its incarnation as the leader knows it. The platform's list does not
+/// contain incarnations.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
-    /// The server. It is leaving if the life is.
+pub struct ListedServer {
+    /// The server. `leaving` applies to this incarnation.
     pub server: Server,
-    /// The life; 0 where nothing told it.
-    pub life: Incarnation,
+    /// The incarnation; 0 if unknown.
+    pub incarnation: Incarnation,
 }
 
-/// A box's word of the life that a server is in.
+/// A box's report to the leader of a server's current incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IncarnationReport {
-    /// The server in its life.
+    /// The server's id and incarnation.
     pub server: ServerKey,
-    /// Where it answered: at another address it is in another life.
+    /// The address that it answered at. The same id at another address is another incarnation.
     pub addr: SocketAddr,
 }
 
-/// Which list: the term of the leader that read it, and its place among that leader's lists.
+/// Identifies a version of the list. Versions order first by the term of the leader that built the
+/// list, then by the leader's sequence number.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ListVersion {
-    /// The term.
+    /// The leader's term.
     pub term: Term,
-    /// The place.
-    pub place: u64,
+    /// The sequence number.
+    #[serde(rename = "place")]
+    pub sequence: u64,
 }
 
 impl fmt::Display for ListVersion {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}.{}", self.term, self.place)
+        write!(f, "{}.{}", self.term, self.sequence)
     }
 }
 
-/// A part of the list: the servers of a service in a data centre whose hashes begin with the same bits.
-/// Written as `service/data_centre/bits/place`.
+/// Identifies a part of the list: the servers of a service in a data centre whose id hashes begin
+/// with the same bits. Serialized as `service/data_centre/prefix_bits/prefix`.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct PartId {
@@ -104,48 +113,48 @@
     pub service: ServiceName,
     /// The data centre.
     pub data_centre: DataCentre,
-    /// How many bits of the hash tell the parts of this service and data centre apart.
-    pub bits: u32,
-    /// What those bits are.
-    pub place: u64,
+    /// Length of the hash prefix in bits, the same for all parts of this service and data centre.
+    pub prefix_bits: u32,
+    /// The hash prefix.
+    pub prefix: u64,
 }
 
 impl fmt::Display for PartId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}/{}/{}/{}", self.service, self.data_centre, self.bits, self.place)
+        write!(f, "{}/{}/{}/{}", self.service, self.data_centre, self.prefix_bits, self.prefix)
     }
 }
 
-/// That a text names no part of the list.
+/// The error for a text that is not a valid [`PartId`].
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("{0:?} names no part of the list")]
-pub struct NoPart(String);
+#[error("{0:?} is not a part id of the form service/data_centre/prefix_bits/prefix")]
+pub struct ParsePartIdError(String);
 
 impl FromStr for PartId {
-    type Err = NoPart;
+    type Err = ParsePartIdError;
 
-    fn from_str(text: &str) -> Result<Self, NoPart> {
+    fn from_str(text: &str) -> Result<Self, ParsePartIdError> {
         let fields: Vec<_> = text.split('/').collect();
         let part = match fields[..] {
-            [service, data_centre, bits, place] => (|| {
+            [service, data_centre, prefix_bits, prefix] => (|| {
                 let (service, data_centre) = (service.parse().ok()?, data_centre.parse().ok()?);
                 Some(Self {
                     service,
                     data_centre,
-                    bits: bits.parse().ok()?,
-                    place: place.parse().ok()?,
+                    prefix_bits: prefix_bits.parse().ok()?,
+                    prefix: prefix.parse().ok()?,
                 })
             })(),
             _ => None,
         };
-        part.ok_or_else(|| NoPart(text.to_owned()))
+        part.ok_or_else(|| ParsePartIdError(text.to_owned()))
     }
 }
 
 impl TryFrom<String> for PartId {
-    type Error = NoPart;
+    type Error = ParsePartIdError;
 
-    fn try_from(text: String) -> Result<Self, NoPart> {
+    fn try_from(text: String) -> Result<Self, ParsePartIdError> {
         text.parse()
     }
 }
@@ -156,18 +165,19 @@
     }
 }
 
-/// A fingerprint of a part's content: of all that is listed but the time that is left.
+/// A hash of a part's content. It leaves out the remaining time until shutdown, which changes
+/// continuously.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ContentHash(pub u64);
 
 impl ContentHash {
-    /// The print of these servers.
-    pub fn of(servers: &[Listed]) -> Self {
+    /// Hashes the servers, in the order given.
+    pub fn of(servers: &[ListedServer]) -> Self {
         let mut text = String::new();
-        for Listed { server, life } in servers {
-            if !life.is_none() {
-                text += &format!("{life} ");
+        for ListedServer { server, incarnation } in servers {
+            if !incarnation.is_none() {
+                text += &format!("{incarnation} ");
             }
             text += &format!(
                 "{} {} {} {} {} {} {};",
@@ -183,43 +193,44 @@
         Self(fingerprint(&text))
     }
 
-    /// The print of an index: of its parts with their prints, in their order.
+    /// Hashes the ids and content hashes of an index's parts, in the order given.
     fn of_index(parts: &[(PartId, Self)]) -> Self {
-        let text: String =
-            parts.iter().map(|(part, print)| format!("{part} {};", print.0)).collect();
+        let text: String = parts.iter().map(|(part, hash)| format!("{part} {};", hash.0)).collect();
         Self(fingerprint(&text))
     }
 }
 
-/// Which parts a box is to hold.
+/// The parts that a box must hold.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListIndex {
-    /// The list that it is of.
+    /// The list version that it was built from.
     pub version: ListVersion,
-    /// The print of `parts`.
-    pub print: ContentHash,
-    /// The parts, each with the print of its content.
+    /// The hash of `parts`.
+    #[serde(rename = "print")]
+    pub hash: ContentHash,
+    /// The parts, each with its content hash.
     pub parts: Vec<(PartId, ContentHash)>,
 }
 
 impl ListIndex {
-    /// The index of some parts.
+    /// Creates an index and computes its hash.
     pub fn new(version: ListVersion, parts: Vec<(PartId, ContentHash)>) -> Self {
-        Self { version, print: ContentHash::of_index(&parts), parts }
+        Self { version, hash: ContentHash::of_index(&parts), parts }
     }
 
-    /// Notes that a part's content has another print by now.
-    pub(super) fn renew(&mut self, part: &PartId, print: ContentHash) {
+    /// Replaces the content hash of a part, if the index has the part.
+    pub(super) fn update_part_hash(&mut self, part: &PartId, hash: ContentHash) {
         let held = self.parts.iter_mut().find(|(id, _)| id == part);
-        if let Some((_, held)) = held.filter(|(_, held)| *held != print) {
-            *held = print;
-            self.print = ContentHash::of_index(&self.parts);
+        if let Some((_, held)) = held.filter(|(_, held)| *held != hash) {
+            *held = hash;
+            self.hash = ContentHash::of_index(&self.parts);
         }
     }
 }
 
-/// A server in a part, which names its service and data centre once: a message of a few hundred is a
-/// third shorter. No field may be left out: parts go out packed.
+/// A server within a [`ListPart`]. The part stores the service and data centre once for all of its
+/// servers, which makes a message of a few hundred servers a third shorter. Parts are sent in a
+/// positional encoding, so no field may be skipped.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct PartServer {
     id: BackendId,
@@ -229,85 +240,89 @@
     spot: bool,
     leaving: bool,
     leaves_in: Option<Millis>,
-    life: Incarnation,
+    #[serde(rename = "life")]
+    incarnation: Incarnation,
 }
 
-/// The content of a part.
+/// A part of the list with its servers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListPart {
-    /// Which part.
+    /// The part's id.
     pub id: PartId,
-    /// The print of its content.
-    pub print: ContentHash,
+    /// The hash of its content.
+    #[serde(rename = "print")]
+    pub hash: ContentHash,
     servers: Vec<PartServer>,
 }
 
-/// Parts of the list, each packed once for all boxes that ask for it.
+/// Parts in their encoded form. Each is encoded once and shared by the answers to all boxes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedParts {
-    /// Milliseconds since the parts were read.
-    pub passed: Millis,
-    /// The parts, each packed.
+    /// Milliseconds since the platform's list was read. Shutdown times count from that read.
+    #[serde(rename = "passed")]
+    pub elapsed: Millis,
+    /// The encoded parts.
     pub parts: Vec<Arc<str>>,
 }
 
 impl PackedParts {
-    /// The parts as they are now.
+    /// Decodes the parts and subtracts [`PackedParts::elapsed`] from their shutdown times.
     ///
     /// # Errors
-    /// What cannot be read.
+    ///
+    /// [`Unreadable`] if a part cannot be decoded.
     pub fn unpack(&self) -> Result<Vec<ListPart>, Unreadable> {
         let unpacked = self.parts.iter().map(|part| {
             let part: ListPart = unpack(part)?;
-            Ok(part.after(self.passed))
+            Ok(part.after_elapsed(self.elapsed))
         });
         unpacked.collect()
     }
 }
 
 impl ListPart {
-    /// The part as it goes into a call.
-    pub(super) fn packed(&self) -> Arc<str> {
-        pack(self).expect("a part has a packed form").into()
+    /// Encodes the part for a message.
+    pub(super) fn pack(&self) -> Arc<str> {
+        pack(self).expect("a part can be encoded").into()
     }
 
-    /// The part once `passed` of the time left is over.
-    fn after(mut self, passed: Millis) -> Self {
+    /// Subtracts `elapsed` from the servers' shutdown times.
+    fn after_elapsed(mut self, elapsed: Millis) -> Self {
         for left in self.servers.iter_mut().filter_map(|server| server.leaves_in.as_mut()) {
-            left.0 = left.0.saturating_sub(passed.0);
+            left.0 = left.0.saturating_sub(elapsed.0);
         }
         self
     }
 
-    /// The part of these servers, of which `passed` of the time left is over since they were listed.
-    pub fn new(id: PartId, print: ContentHash, servers: &[Listed], passed: Millis) -> Self {
-        let servers = servers.iter().map(|Listed { server, life }| PartServer {
+    /// Creates a part from `servers`, which were listed `elapsed` ago.
+    pub fn new(id: PartId, hash: ContentHash, servers: &[ListedServer], elapsed: Millis) -> Self {
+        let servers = servers.iter().map(|ListedServer { server, incarnation }| PartServer {
             id: server.id.clone(),
             addr: server.addr,
             release: server.release.clone(),
             slots: server.slots,
             spot: server.spot,
             leaving: server.leaving,
-            leaves_in: server.leaves_in.map(|left| Millis(left.0.saturating_sub(passed.0))),
-            life: *life,
+            leaves_in: server.leaves_in.map(|left| Millis(left.0.saturating_sub(elapsed.0))),
+            incarnation: *incarnation,
         });
-        Self { servers: servers.collect(), id, print }
+        Self { servers: servers.collect(), id, hash }
     }
 
-    /// The server at a place, in its life.
-    pub fn key_at(&self, place: usize) -> Option<ServerKey> {
-        let server = self.servers.get(place)?;
-        Some(ServerKey { id: server.id.clone(), life: server.life })
+    /// The id and incarnation of the server at `index`.
+    pub fn key_at(&self, index: usize) -> Option<ServerKey> {
+        let server = self.servers.get(index)?;
+        Some(ServerKey { id: server.id.clone(), life: server.incarnation })
     }
 
-    /// The servers.
+    /// The servers without their incarnations.
     pub fn servers(&self) -> impl Iterator<Item = Server> {
-        self.listed().map(|listed| listed.server)
+        self.listed_servers().map(|listed| listed.server)
     }
 
-    /// The servers, each in its life.
-    pub fn listed(&self) -> impl Iterator<Item = Listed> {
-        self.servers.iter().map(|server| Listed {
+    /// The servers with their incarnations.
+    pub fn listed_servers(&self) -> impl Iterator<Item = ListedServer> {
+        self.servers.iter().map(|server| ListedServer {
             server: Server {
                 id: server.id.clone(),
                 service: self.id.service.clone(),
@@ -319,7 +334,7 @@
                 leaves_in: server.leaves_in,
                 spot: server.spot,
             },
-            life: server.life,
+            incarnation: server.incarnation,
         })
     }
 }
--- a/src/relay/list_registry.rs
+++ b/src/relay/list_registry.rs
@@ -1,4 +1,5 @@
-//! The leader's list of backend servers, in the parts in which boxes take it. Pure: time is an argument.
+//! The leader's list of backend servers, divided into the parts that boxes fetch. Pure: the current
+//! time is an argument.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -6,10 +7,10 @@
 use std::time::{Duration, Instant};
 
 use super::list::{
-    ContentHash, IncarnationReport, ListIndex, ListPart, ListVersion, Listed, PackedParts, PartId,
-    Server,
+    ContentHash, IncarnationReport, ListIndex, ListPart, ListVersion, ListedServer, PackedParts,
+    PartId, Server,
 };
-use super::listing::{Listing, Unread};
+use super::listing::{Listing, UnreadableEntry};
 use crate::decide::lives::{Heard, Life, Moment, Speaker};
 use crate::decide::subset::{SUBSET, chosen, part_bits, part_place, parts_taken, shares};
 use crate::decide::topology::{Reach, Topology};
@@ -17,44 +18,48 @@
 use crate::member::table::fingerprint;
 use crate::units::Millis;
 
-/// Parts that an answer brings at most: 24 of up to 24 servers are 50 KB, 40 ms of a link of 10 Mbit/s.
-pub const PARTS_LIMIT: usize = 24;
+/// How many parts an answer contains at most. 24 parts of up to 24 servers each are 50 KB, which
+/// take 40 ms on a 10 Mbit/s link.
+pub const MAX_PARTS_PER_ANSWER: usize = 24;
 
-/// The servers of a service in a data centre.
-type Group = (ServiceName, DataCentre);
+/// A service and the data centre of its servers.
+type ServiceLocation = (ServiceName, DataCentre);
 
-/// Servers remembered beside those that are listed: one may be back within a few readings.
-const GONE_LIMIT: usize = 1_024;
+/// How many servers that are no longer listed are remembered beyond the number of listed ones. A
+/// server may reappear within a few reads of the list.
+const UNLISTED_LIMIT: usize = 1_024;
 
-/// How far the time left may differ between two readings that say the same: a move takes longer.
-const LEFT_SLACK: Duration = Duration::from_millis(200);
+/// How much a server's shutdown time may differ between two reads that still count as unchanged. A
+/// real change of the shutdown time is larger.
+const SHUTDOWN_TIME_TOLERANCE: Duration = Duration::from_millis(200);
 
 struct Part {
-    print: ContentHash,
-    /// A hash of its id: by it boxes take some parts and not others.
-    hash: u64,
-    servers: Vec<Listed>,
-    /// Its content as it goes to boxes, once one has asked.
+    content_hash: ContentHash,
+    /// A hash of the part's id, from which each box's selection of parts is computed.
+    id_hash: u64,
+    servers: Vec<ListedServer>,
+    /// The encoded part; computed when a box first asks for it.
     packed: OnceLock<Arc<str>>,
 }
 
 impl Part {
-    fn new(id: &PartId, servers: Vec<Listed>) -> Self {
-        let (print, hash) = (ContentHash::of(&servers), fingerprint(&id.to_string()));
-        Self { print, hash, servers, packed: OnceLock::new() }
+    fn new(id: &PartId, servers: Vec<ListedServer>) -> Self {
+        let (content_hash, id_hash) = (ContentHash::of(&servers), fingerprint(&id.to_string()));
+        Self { content_hash, id_hash, servers, packed: OnceLock::new() }
     }
 
-    /// Packs the content, once for all boxes: hundreds ask for the same part when the list changes.
-    fn packed(&self, id: &PartId) -> Arc<str> {
-        let pack = || ListPart::new(id.clone(), self.print, &self.servers, Millis(0)).packed();
+    /// The encoded part. The encoding is shared, since hundreds of boxes ask for the same part when
+    /// the list changes.
+    fn pack(&self, id: &PartId) -> Arc<str> {
+        let pack = || ListPart::new(id.clone(), self.content_hash, &self.servers, Millis(0)).pack();
         self.packed.get_or_init(pack).clone()
     }
 }
 
-/// The life in which a server was last known.
-struct InLife {
+/// The last known incarnation of a server.
+struct KnownIncarnation {
     life: Life,
-    /// When something was last heard of it that another life may have been meant by.
+    /// When this incarnation became known.
     since: Instant,
     addr: SocketAddr,
 }
@@ -62,53 +67,54 @@
 /// The newest list.
 #[derive(Default)]
 pub struct ListRegistry {
-    /// The region of each data centre; empty where there is one.
+    /// The region of each data centre; empty if there is only one region.
     regions: BTreeMap<DataCentre, Region>,
     version: ListVersion,
-    /// What the platform lists.
-    read: Vec<Server>,
-    /// The entries that name no server.
-    unread: Vec<Unread>,
-    /// When that was read.
-    read_at: Option<Moment>,
-    /// The same, each server as it is in its life.
+    /// The servers in the last listing of the platform.
+    listing: Vec<Server>,
+    /// The entries of the last listing that could not be read.
+    unreadable: Vec<UnreadableEntry>,
+    /// When the last listing was read.
+    listed_at: Option<Moment>,
+    /// The servers of `listing`, with `leaving` adjusted to their incarnations.
     servers: Vec<Server>,
-    lives: HashMap<BackendId, InLife>,
-    /// Whether the lives say something that `servers` does not show, or may with the next reading.
+    lives: HashMap<BackendId, KnownIncarnation>,
+    /// Whether `servers` may not reflect what is known of incarnations, so that the list must be
+    /// rebuilt.
     stale: bool,
-    bits: BTreeMap<Group, u32>,
+    prefix_bits: BTreeMap<ServiceLocation, u32>,
     parts: BTreeMap<PartId, Part>,
-    /// Servers of each service.
+    /// The number of servers of each service.
     counts: BTreeMap<ServiceName, usize>,
-    /// The indexes of the boxes that have asked since this list came.
+    /// The indexes computed for boxes since the current list version.
     indexes: HashMap<BoxId, Arc<ListIndex>>,
 }
 
 impl ListRegistry {
-    /// No list yet, of a fleet with these regions.
+    /// Creates an empty list for a fleet with these regions.
     pub fn new(regions: BTreeMap<DataCentre, Region>) -> Self {
         Self { regions, ..Self::default() }
     }
 
-    /// The servers.
+    /// The servers. `leaving` applies to their current incarnations.
     pub fn servers(&self) -> &[Server] {
         &self.servers
     }
 
-    /// Whether no list was read yet.
+    /// Whether no listing has been applied yet.
     pub fn is_empty(&self) -> bool {
         self.version == ListVersion::default()
     }
 
-    /// Whether servers of a release are there to take all of a service's traffic: half as many as of the
-    /// others at least.
-    pub fn serves(&self, service: &ServiceName, release: &Release) -> bool {
+    /// Whether enough servers run `release` to take all of the service's traffic: at least half as
+    /// many as run other releases. Servers that are leaving do not count.
+    pub fn can_serve(&self, service: &ServiceName, release: &Release) -> bool {
         let open = self.servers.iter().filter(|it| it.service == *service && !it.leaving);
         let (new, former): (Vec<_>, Vec<_>) = open.partition(|it| it.release == *release);
         !new.is_empty() && 2 * new.len() >= former.len()
     }
 
-    /// How many servers there are of each release of each service, for the log.
+    /// The number of servers for each service and release, formatted for the log.
     pub fn releases(&self) -> String {
         let mut counts: BTreeMap<(&ServiceName, &Release), u32> = BTreeMap::new();
         for server in &self.servers {
@@ -119,53 +125,60 @@
         texts.collect::<Vec<_>>().join(",")
     }
 
-    /// The servers, each in its life.
+    /// The ids and incarnations of all servers.
     pub fn keys(&self) -> impl Iterator<Item = ServerKey> {
         let listed = self.parts.values().flat_map(|part| &part.servers);
-        listed.map(|it| ServerKey { id: it.server.id.clone(), life: it.life })
+        listed.map(|it| ServerKey { id: it.server.id.clone(), life: it.incarnation })
     }
 
-    /// The entries of the last reading that name no server.
-    pub fn unread(&self) -> &[Unread] {
-        &self.unread
+    /// The entries of the last listing that could not be read.
+    pub fn unreadable(&self) -> &[UnreadableEntry] {
+        &self.unreadable
     }
 
-    /// Takes what was read just now by the leader of `term`; the version of their list if
-    /// it says something new.
-    pub fn put(
+    /// Applies a listing that the leader of `term` has just read. Returns the new version if the
+    /// list changed.
+    pub fn apply_listing(
         &mut self,
         term: Term,
         listing: impl Into<Listing>,
         now: impl Into<Moment>,
     ) -> Option<ListVersion> {
         let now = now.into();
-        let passed = self.read_at.map(|read| now.at.saturating_duration_since(read.at));
-        let passed = passed.unwrap_or_default();
-        let listing = listing.into().settle(&self.read, passed);
-        self.unread = listing.unread;
-        if !self.stale && !self.is_empty() && self.is_read_again(&listing.servers, passed) {
+        let elapsed =
+            self.listed_at.map(|listed_at| now.at.saturating_duration_since(listed_at.at));
+        let elapsed = elapsed.unwrap_or_default();
+        let listing = listing.into().reconcile(&self.listing, elapsed);
+        self.unreadable = listing.unreadable;
+        if !self.stale && !self.is_empty() && self.is_unchanged(&listing.servers, elapsed) {
             return None;
         }
-        self.read = listing.servers;
-        self.read_at = Some(now);
-        self.renew(term, now)
+        self.listing = listing.servers;
+        self.listed_at = Some(now);
+        self.rebuild(term, now)
     }
 
-    /// Whether a reading says what the last one did. The time that is left has passed meanwhile.
-    fn is_read_again(&self, servers: &[Server], passed: Duration) -> bool {
-        let same = |(old, new): (&Server, &Server)| old.is_again(new, passed, LEFT_SLACK);
-        self.read.len() == servers.len() && self.read.iter().zip(servers).all(same)
+    /// Whether `servers` describes the same state as the last listing, apart from the elapsed time.
+    fn is_unchanged(&self, servers: &[Server], elapsed: Duration) -> bool {
+        let same = |(old, new): (&Server, &Server)| {
+            old.is_unchanged_in(new, elapsed, SHUTDOWN_TIME_TOLERANCE)
+        };
+        self.listing.len() == servers.len() && self.listing.iter().zip(servers).all(same)
     }
 
-    /// Takes a box's word of the life that a server is in. What it changes of the list is told with the
-    /// next [`ListRegistry::renew`].
-    pub fn apply_incarnation(&mut self, told: &IncarnationReport, now: impl Into<Moment>) -> Heard {
+    /// Applies a box's report of a server's incarnation. The list reflects it after the next
+    /// [`ListRegistry::rebuild`].
+    pub fn apply_incarnation(
+        &mut self,
+        report: &IncarnationReport,
+        now: impl Into<Moment>,
+    ) -> Heard {
         let now = now.into();
-        let held = self.lives.get_mut(&told.server.id);
-        let Some(held) = held.filter(|held| held.addr == told.addr) else {
+        let held = self.lives.get_mut(&report.server.id);
+        let Some(held) = held.filter(|held| held.addr == report.addr) else {
             return Heard::Earlier;
         };
-        let heard = held.life.hear(told.server.life, Speaker::Other, now.unix);
+        let heard = held.life.hear(report.server.life, Speaker::Other, now.unix);
         if matches!(heard, Heard::Named | Heard::Another) {
             held.since = now.at;
             self.stale = true;
@@ -173,35 +186,37 @@
         heard
     }
 
-    /// Whether something was heard of lives that the list does not show yet.
+    /// Whether the list must be rebuilt to reflect what is known of incarnations.
     pub fn is_stale(&self) -> bool {
         self.stale
     }
 
-    /// Makes the list anew from what was read last and what is known of lives; its version if it says
-    /// something new.
-    pub fn renew(&mut self, term: Term, now: impl Into<Moment>) -> Option<ListVersion> {
-        let listed = self.in_lives(now.into());
+    /// Rebuilds the list from the last listing and the known incarnations. Returns the new version
+    /// if a part changed.
+    pub fn rebuild(&mut self, term: Term, now: impl Into<Moment>) -> Option<ListVersion> {
+        let listed = self.with_incarnations(now.into());
         self.servers = listed.iter().map(|it| it.server.clone()).collect();
-        let groups = grouped(listed);
-        let bits = |(group, servers): (&Group, &Vec<Listed>)| {
-            let held = self.bits.get(group).copied().unwrap_or(0);
+        let groups = group_by_location(listed);
+        let updated_bits = |(group, servers): (&ServiceLocation, &Vec<ListedServer>)| {
+            let held = self.prefix_bits.get(group).copied().unwrap_or(0);
             (group.clone(), part_bits(servers.len(), held))
         };
-        self.bits = groups.iter().map(bits).collect();
+        self.prefix_bits = groups.iter().map(updated_bits).collect();
         let parts: BTreeMap<_, _> = groups
             .into_iter()
-            .flat_map(|(group, servers)| split(&group, self.bits[&group], servers))
+            .flat_map(|(group, servers)| {
+                split_into_parts(&group, self.prefix_bits[&group], servers)
+            })
             .collect();
         let is_same = parts.len() == self.parts.len()
-            && parts
-                .iter()
-                .all(|(id, it)| self.parts.get(id).is_some_and(|held| held.print == it.print));
-        self.keep_packed(parts);
+            && parts.iter().all(|(id, it)| {
+                self.parts.get(id).is_some_and(|held| held.content_hash == it.content_hash)
+            });
+        self.replace_parts(parts);
         if is_same && !self.is_empty() {
             return None;
         }
-        self.version = ListVersion { term, place: self.version.place + 1 };
+        self.version = ListVersion { term, sequence: self.version.sequence + 1 };
         self.counts.clear();
         for server in &self.servers {
             *self.counts.entry(server.service.clone()).or_default() += 1;
@@ -210,12 +225,15 @@
         Some(self.version)
     }
 
-    /// Takes the parts of a new list. What of them has not changed, and has no time left that passes, need not
-    /// be packed again.
-    fn keep_packed(&mut self, mut parts: BTreeMap<PartId, Part>) {
+    /// Replaces the parts. The encoded form of an unchanged part is kept, unless it contains
+    /// shutdown times, which are relative to the time of the listing.
+    fn replace_parts(&mut self, mut parts: BTreeMap<PartId, Part>) {
         for (id, part) in &mut parts {
             let is_timed = part.servers.iter().any(|it| it.server.leaves_in.is_some());
-            let held = self.parts.remove(id).filter(|held| held.print == part.print && !is_timed);
+            let held = self
+                .parts
+                .remove(id)
+                .filter(|held| held.content_hash == part.content_hash && !is_timed);
             if let Some(held) = held {
                 part.packed = held.packed;
             }
@@ -223,55 +241,63 @@
         self.parts = parts;
     }
 
-    /// The servers that were read, each as it is in its life: a notice of leaving that may be of an earlier
-    /// one is held back until the platform has gone on showing it.
-    fn in_lives(&mut self, now: Moment) -> Vec<Listed> {
-        let read = self.read_at.unwrap_or(now);
+    /// Adds the incarnations to the servers of the last listing. The platform's list lags, so a
+    /// shutdown notice may belong to an earlier incarnation; it is ignored until the list has shown
+    /// it for long enough.
+    fn with_incarnations(&mut self, now: Moment) -> Vec<ListedServer> {
+        let listed_at = self.listed_at.unwrap_or(now);
         self.stale = false;
-        let mut listed = Vec::with_capacity(self.read.len());
-        for server in &self.read {
-            let fresh =
-                || InLife { life: Life::seen_at(now.unix), since: now.at, addr: server.addr };
+        let mut listed = Vec::with_capacity(self.listing.len());
+        for server in &self.listing {
+            let fresh = || KnownIncarnation {
+                life: Life::seen_at(now.unix),
+                since: now.at,
+                addr: server.addr,
+            };
             let held = self.lives.entry(server.id.clone()).or_insert_with(fresh);
             if held.addr != server.addr {
-                // A server keeps its address for its life.
+                // A server has one address for its whole incarnation.
                 held.life.restart(now.unix);
                 (held.since, held.addr) = (now.at, server.addr);
             }
             let mut server = server.clone();
-            let known = read.at.saturating_duration_since(held.since);
-            if server.leaving && !held.life.is_listed(read.unix, known) {
+            let known = listed_at.at.saturating_duration_since(held.since);
+            if server.leaving && !held.life.is_listed(listed_at.unix, known) {
                 (server.leaving, server.leaves_in) = (false, None);
                 self.stale = true;
             }
-            listed.push(Listed { server, life: held.life.told() });
+            listed.push(ListedServer { server, incarnation: held.life.told() });
         }
-        if self.lives.len() > 2 * listed.len() + GONE_LIMIT {
+        if self.lives.len() > 2 * listed.len() + UNLISTED_LIMIT {
             let there: HashSet<_> = listed.iter().map(|it| &it.server.id).collect();
             self.lives.retain(|id, _| there.contains(id));
         }
         listed
     }
 
-    /// The parts that a box is to hold which has not said where it stands.
+    /// The index for a box that has not reported its data centre.
     pub fn index(&mut self, box_id: &BoxId) -> Arc<ListIndex> {
-        self.index_at(box_id, None)
+        self.index_for_location(box_id, None)
     }
 
-    /// The parts that a box in a data centre is to hold.
-    pub fn index_at(&mut self, box_id: &BoxId, own: Option<&DataCentre>) -> Arc<ListIndex> {
+    /// The index for a box in the data centre `own`.
+    pub fn index_for_location(
+        &mut self,
+        box_id: &BoxId,
+        own: Option<&DataCentre>,
+    ) -> Arc<ListIndex> {
         if let Some(index) = self.indexes.get(box_id) {
             return index.clone();
         }
-        let index = Arc::new(ListIndex::new(self.version, self.parts_of(box_id, own)));
+        let index = Arc::new(ListIndex::new(self.version, self.select_parts(box_id, own)));
         self.indexes.insert(box_id.clone(), index.clone());
         index
     }
 
-    fn parts_of(&self, box_id: &BoxId, own: Option<&DataCentre>) -> Vec<(PartId, ContentHash)> {
+    fn select_parts(&self, box_id: &BoxId, own: Option<&DataCentre>) -> Vec<(PartId, ContentHash)> {
         let topology = own.map(|own| Topology::new(own.clone(), self.regions.clone()));
         let topology = topology.filter(Topology::is_split);
-        let near = topology.as_ref().map(|topology| self.by_reach(topology));
+        let near = topology.as_ref().map(|topology| self.count_by_reach(topology));
         let hash = fingerprint(box_id.as_str());
         let all: Vec<_> = self.parts.iter().collect();
         let same = |a: &(&PartId, &Part), b: &(&PartId, &Part)| {
@@ -288,17 +314,22 @@
                 }
                 _ => (SUBSET, self.counts.get(service).copied().unwrap_or(0)),
             };
-            let hashes: Vec<_> = group.iter().map(|(_, part)| part.hash).collect();
-            let places = chosen(hash, &hashes, parts_taken(group.len(), wanted, there));
+            let hashes: Vec<_> = group.iter().map(|(_, part)| part.id_hash).collect();
+            let indices = chosen(hash, &hashes, parts_taken(group.len(), wanted, there));
             taken.extend(
-                places.into_iter().map(|place| (group[place].0.clone(), group[place].1.print)),
+                indices
+                    .into_iter()
+                    .map(|index| (group[index].0.clone(), group[index].1.content_hash)),
             );
         }
         taken
     }
 
-    /// The servers of each service by how far they are.
-    fn by_reach(&self, topology: &Topology) -> BTreeMap<&ServiceName, [usize; Reach::ALL.len()]> {
+    /// The number of servers of each service by their reach.
+    fn count_by_reach(
+        &self,
+        topology: &Topology,
+    ) -> BTreeMap<&ServiceName, [usize; Reach::ALL.len()]> {
         let mut counts: BTreeMap<_, [usize; Reach::ALL.len()]> = BTreeMap::new();
         for (id, part) in &self.parts {
             let count = counts.entry(&id.service).or_default();
@@ -307,39 +338,39 @@
         counts
     }
 
-    /// The servers of an index's parts, by the prints of the contents that are held.
+    /// The server ids of each part in an index, with the part's content hash.
     pub fn listed_parts<'a>(&'a self, index: &ListIndex) -> Vec<(ContentHash, Vec<&'a BackendId>)> {
         let parts = index.parts.iter().filter_map(|(id, _)| self.parts.get(id));
         let of_part = |part: &'a Part| {
             let ids = part.servers.iter().map(|listed| &listed.server.id);
-            (part.print, ids.collect::<Vec<_>>())
+            (part.content_hash, ids.collect::<Vec<_>>())
         };
         parts.map(of_part).collect()
     }
 
-    /// The contents of some parts as they go to boxes, [`PARTS_LIMIT`] at most; those that are no longer there
-    /// are left out.
-    pub fn packed_contents(&self, wanted: &[PartId], now: Instant) -> PackedParts {
-        let passed = self.read_at.map(|read| now.saturating_duration_since(read.at));
-        let wanted = wanted.iter().take(PARTS_LIMIT);
-        let parts = wanted.filter_map(|id| Some(self.parts.get(id)?.packed(id))).collect();
-        PackedParts { passed: passed.unwrap_or_default().into(), parts }
+    /// The encoded parts for an answer to a box, at most [`MAX_PARTS_PER_ANSWER`]. Parts that no
+    /// longer exist are skipped.
+    pub fn packed_parts(&self, wanted: &[PartId], now: Instant) -> PackedParts {
+        let elapsed = self.listed_at.map(|listed_at| now.saturating_duration_since(listed_at.at));
+        let wanted = wanted.iter().take(MAX_PARTS_PER_ANSWER);
+        let parts = wanted.filter_map(|id| Some(self.parts.get(id)?.pack(id))).collect();
+        PackedParts { elapsed: elapsed.unwrap_or_default().into(), parts }
     }
 
-    /// The contents of some parts, [`PARTS_LIMIT`] at most; those that are no longer there are left out.
-    pub fn contents(&self, wanted: &[PartId], now: Instant) -> Vec<ListPart> {
-        let passed = self.read_at.map(|read| now.saturating_duration_since(read.at));
-        let passed = passed.unwrap_or_default();
-        let found = wanted.iter().take(PARTS_LIMIT).filter_map(|id| {
+    /// The given parts, at most [`MAX_PARTS_PER_ANSWER`]. Parts that no longer exist are skipped.
+    pub fn list_parts(&self, wanted: &[PartId], now: Instant) -> Vec<ListPart> {
+        let elapsed = self.listed_at.map(|listed_at| now.saturating_duration_since(listed_at.at));
+        let elapsed = elapsed.unwrap_or_default();
+        let found = wanted.iter().take(MAX_PARTS_PER_ANSWER).filter_map(|id| {
             let part = self.parts.get(id)?;
-            Some(ListPart::new(id.clone(), part.print, &part.servers, passed.into()))
+            Some(ListPart::new(id.clone(), part.content_hash, &part.servers, elapsed.into()))
         });
         found.collect()
     }
 }
 
-fn grouped(servers: Vec<Listed>) -> BTreeMap<Group, Vec<Listed>> {
-    let mut groups: BTreeMap<Group, Vec<Listed>> = BTreeMap::new();
+fn group_by_location(servers: Vec<ListedServer>) -> BTreeMap<ServiceLocation, Vec<ListedServer>> {
+    let mut groups: BTreeMap<ServiceLocation, Vec<ListedServer>> = BTreeMap::new();
     for listed in servers {
         let group = (listed.server.service.clone(), listed.server.data_centre.clone());
         groups.entry(group).or_default().push(listed);
@@ -347,16 +378,20 @@
     groups
 }
 
-fn split((service, data_centre): &Group, bits: u32, servers: Vec<Listed>) -> Vec<(PartId, Part)> {
-    let mut places: BTreeMap<u64, Vec<Listed>> = BTreeMap::new();
+fn split_into_parts(
+    (service, data_centre): &ServiceLocation,
+    prefix_bits: u32,
+    servers: Vec<ListedServer>,
+) -> Vec<(PartId, Part)> {
+    let mut by_prefix: BTreeMap<u64, Vec<ListedServer>> = BTreeMap::new();
     for listed in servers {
-        let place = part_place(fingerprint(listed.server.id.as_str()), bits);
-        places.entry(place).or_default().push(listed);
+        let prefix = part_place(fingerprint(listed.server.id.as_str()), prefix_bits);
+        by_prefix.entry(prefix).or_default().push(listed);
     }
-    let parts = places.into_iter().map(|(place, mut servers)| {
+    let parts = by_prefix.into_iter().map(|(prefix, mut servers)| {
         servers.sort_unstable_by(|a, b| a.server.id.cmp(&b.server.id));
         let (service, data_centre) = (service.clone(), data_centre.clone());
-        let id = PartId { service, data_centre, bits, place };
+        let id = PartId { service, data_centre, prefix_bits, prefix };
         let part = Part::new(&id, servers);
         (id, part)
     });
--- a/src/relay/listing.rs
+++ b/src/relay/listing.rs
@@ -1,4 +1,5 @@
-//! One reading of the platform's list: what could be read of it, and what could not.
+//! A listing of the backend servers as read from the platform: the entries that could be parsed and
+//! those that could not.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -9,79 +10,79 @@
 use crate::ids::BackendId;
 use crate::units::Millis;
 
-/// Why an entry names no server.
+/// Why an entry could not be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum EntryFault {
-    /// It has no fields.
-    Shape,
-    /// This field is missing, of another type, or out of range.
-    Field(&'static str),
-    /// Another entry says something else of the same id.
-    Doubled,
+pub enum EntryError {
+    /// The entry is not a JSON object.
+    NotAnObject,
+    /// The named field is missing, has the wrong type or is out of range.
+    InvalidField(&'static str),
+    /// Several entries have this id and contradict each other.
+    DuplicateId,
 }
 
-impl EntryFault {
-    /// Its name, for logs and metrics.
-    pub fn name(self) -> &'static str {
+impl EntryError {
+    /// The error's name in logs and metrics.
+    pub fn label(self) -> &'static str {
         match self {
-            Self::Shape => "shape",
-            Self::Field(_) => "field",
-            Self::Doubled => "doubled",
+            Self::NotAnObject => "shape",
+            Self::InvalidField(_) => "field",
+            Self::DuplicateId => "doubled",
         }
     }
 }
 
-impl fmt::Display for EntryFault {
+impl fmt::Display for EntryError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Shape => f.write_str("it has no fields"),
-            Self::Field(name) => write!(f, "{name} cannot be read"),
-            Self::Doubled => f.write_str("another entry has its id"),
+            Self::NotAnObject => f.write_str("it is not a JSON object"),
+            Self::InvalidField(name) => write!(f, "{name} is missing or invalid"),
+            Self::DuplicateId => f.write_str("it contradicts another entry of the same id"),
         }
     }
 }
 
-/// An entry that names no server, and what can be told of it.
+/// An entry that could not be read, with the fields that identify its server.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Unread {
-    /// Its id.
+pub struct UnreadableEntry {
+    /// Its id, if readable.
     pub id: Option<BackendId>,
-    /// Its address.
+    /// Its address, if readable.
     pub addr: Option<SocketAddr>,
-    /// Why it names none.
-    pub fault: EntryFault,
+    /// Why it could not be read.
+    pub error: EntryError,
 }
 
-/// One reading.
+/// The result of reading the platform's list once.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// The entries that could be read.
+    /// The entries that were read.
     pub servers: Vec<Server>,
-    /// Those that could not.
-    pub unread: Vec<Unread>,
+    /// The entries that could not be read.
+    pub unreadable: Vec<UnreadableEntry>,
 }
 
 impl From<Vec<Server>> for Listing {
     fn from(servers: Vec<Server>) -> Self {
-        Self { servers, unread: Vec::new() }
+        Self { servers, unreadable: Vec::new() }
     }
 }
 
 impl Listing {
-    /// Adds what a further page lists.
+    /// Appends the entries of another page.
     pub fn extend(&mut self, page: Self) {
         self.servers.extend(page.servers);
-        self.unread.extend(page.unread);
+        self.unreadable.extend(page.unreadable);
     }
 
-    /// Settles what the reading says beside the one before, `passed` ago: each id names one server at most,
-    /// and an entry that cannot be read any more takes none away.
-    pub(super) fn settle(self, former: &[Server], passed: Duration) -> Self {
-        let settled = self.without_doubles(former);
-        settled.with_former(former, passed)
+    /// Reconciles this listing with the `previous` one, read `elapsed` ago: merges entries with the
+    /// same id, and keeps a known server listed while its entry cannot be read.
+    pub(super) fn reconcile(self, previous: &[Server], elapsed: Duration) -> Self {
+        let merged = self.merge_duplicates(previous);
+        merged.retain_unreadable(previous, elapsed)
     }
 
-    fn without_doubles(self, former: &[Server]) -> Self {
+    fn merge_duplicates(self, previous: &[Server]) -> Self {
         let mut ids = HashSet::new();
         if self.servers.iter().all(|server| ids.insert(&server.id)) {
             return self;
@@ -95,37 +96,37 @@
             });
             same.push(server);
         }
-        let mut settled = Self { servers: Vec::new(), unread: self.unread };
-        let held: HashMap<_, _> = former.iter().map(|server| (&server.id, server)).collect();
+        let mut merged = Self { servers: Vec::new(), unreadable: self.unreadable };
+        let held: HashMap<_, _> = previous.iter().map(|server| (&server.id, server)).collect();
         for id in order {
             let same = entries.remove(&id).unwrap_or_default();
             let held = held.get(&id).copied();
-            match one_of(same, held) {
-                Some(server) => settled.servers.push(server),
+            match merge_entries(same, held) {
+                Some(server) => merged.servers.push(server),
                 None => {
-                    let fault = EntryFault::Doubled;
-                    settled.unread.push(Unread { id: Some(id), addr: None, fault });
+                    let error = EntryError::DuplicateId;
+                    merged.unreadable.push(UnreadableEntry { id: Some(id), addr: None, error });
                 }
             }
         }
-        settled
+        merged
     }
 
-    fn with_former(mut self, former: &[Server], passed: Duration) -> Self {
-        if self.unread.is_empty() {
+    fn retain_unreadable(mut self, previous: &[Server], elapsed: Duration) -> Self {
+        if self.unreadable.is_empty() {
             return self;
         }
         let there: HashSet<_> = self.servers.iter().map(|server| &server.id).collect();
-        let missing = former.iter().filter(|server| !there.contains(&server.id));
-        // An entry that cannot be read is a server's by its id, or by its address where that cannot be read
-        // either.
-        let ids: HashSet<_> = self.unread.iter().filter_map(|it| it.id.as_ref()).collect();
-        let nameless = self.unread.iter().filter(|it| it.id.is_none());
+        let missing = previous.iter().filter(|server| !there.contains(&server.id));
+        // An unreadable entry is matched to a known server by its id, or by its address if the id
+        // is unreadable too.
+        let ids: HashSet<_> = self.unreadable.iter().filter_map(|it| it.id.as_ref()).collect();
+        let nameless = self.unreadable.iter().filter(|it| it.id.is_none());
         let addrs: HashSet<_> = nameless.filter_map(|it| it.addr).collect();
         let is_shown = |it: &&Server| ids.contains(&it.id) || addrs.contains(&it.addr);
         let shown: Vec<_> = missing.filter(is_shown).cloned().collect();
         self.servers.extend(shown.into_iter().map(|mut server| {
-            let left = server.leaves_in.map(|left| left.duration().saturating_sub(passed));
+            let left = server.leaves_in.map(|left| left.duration().saturating_sub(elapsed));
             server.leaves_in = left.map(Millis::from);
             server
         }));
@@ -133,9 +134,10 @@
     }
 }
 
-/// The server that entries of one id name: they agree where it is and what it serves, or one of them agrees
-/// with what was known. It is leaving if one of those says so.
-fn one_of(entries: Vec<Server>, held: Option<&Server>) -> Option<Server> {
+/// Merges entries that have the same id. Returns `None` if they name different addresses or
+/// services and none of them matches what was known. The result is leaving if any matching entry
+/// is.
+fn merge_entries(entries: Vec<Server>, held: Option<&Server>) -> Option<Server> {
     let place = |server: &Server| (server.addr, server.service.clone());
     let first = place(entries.first()?);
     let agreed = match held {
--- a/src/relay/servers.rs
+++ b/src/relay/servers.rs
@@ -11,7 +11,7 @@
 use super::call::Report;
 use super::known::{Known, LEAVE_TIME, end, update};
 use super::list::{
-    ContentHash, IncarnationReport, ListIndex, ListPart, ListVersion, Listed, PartId,
+    ContentHash, IncarnationReport, ListIndex, ListPart, ListVersion, ListedServer, PartId,
 };
 use super::part_loads::{self, PartLoads};
 use super::placed::Placed;
@@ -93,7 +93,7 @@
 
 impl Parts {
     fn has(&self, part: &PartId, print: ContentHash) -> bool {
-        self.held.get(part).is_some_and(|held| held.print == print)
+        self.held.get(part).is_some_and(|held| held.hash == print)
     }
 
     fn lacking(&self) -> impl Iterator<Item = &PartId> {
@@ -114,12 +114,12 @@
     }
 
     /// The servers of all parts; those of the parts that are wanted come last.
-    fn listed(&self) -> impl Iterator<Item = Listed> {
+    fn listed(&self) -> impl Iterator<Item = ListedServer> {
         let wanted = |part: &PartId| {
             self.index.iter().flat_map(|index| &index.parts).any(|(wanted, _)| wanted == part)
         };
         let (new, old): (Vec<_>, Vec<_>) = self.held.iter().partition(|(part, _)| wanted(part));
-        old.into_iter().chain(new).flat_map(|(_, part)| part.listed())
+        old.into_iter().chain(new).flat_map(|(_, part)| part.listed_servers())
     }
 }
 
@@ -177,7 +177,7 @@
         let told = {
             let parts = self.parts();
             part_loads::named(loads, |print, place| {
-                let held = parts.held.values().find(|part| part.print == print)?;
+                let held = parts.held.values().find(|part| part.hash == print)?;
                 held.key_at(place)
             })
         };
@@ -336,7 +336,7 @@
 
     /// The print of the index that the box has.
     pub fn index_print(&self) -> Option<ContentHash> {
-        self.parts().index.as_ref().map(|index| index.print)
+        self.parts().index.as_ref().map(|index| index.hash)
     }
 
     /// Whether all servers that the box is to know were known once.
@@ -366,7 +366,7 @@
         let mut parts = self.parts();
         for part in news {
             if let Some(index) = &mut parts.index {
-                index.renew(&part.id, part.print);
+                index.update_part_hash(&part.id, part.hash);
             }
             parts.held.insert(part.id.clone(), part);
         }
@@ -393,11 +393,11 @@
             }
             // What nobody has named, or what the list names alike, gives no reason to ask.
             let is_back = before.is_none()
-                && life.is_some_and(|it| !it.told().is_none() && it.told() != listed.life);
+                && life.is_some_and(|it| !it.told().is_none() && it.told() != listed.incarnation);
             if is_back || before.is_some_and(|it| it.server.addr != known.server.addr) {
                 self.doubt(&known);
             }
-            if listed.server.leaving && known.life.is_of(listed.life) {
+            if listed.server.leaving && known.life.is_of(listed.incarnation) {
                 let left = listed.server.leaves_in.map_or(LEAVE_TIME, Millis::duration);
                 if known.leave(left) {
                     leaving.push(id.clone());
@@ -408,7 +408,7 @@
             if before.is_some_and(|it| it.life() < known.life()) {
                 lock(&self.doubts).settle(&id);
             }
-            match known.life() > listed.life {
+            match known.life() > listed.incarnation {
                 true => news.insert(id.clone()),
                 false => news.remove(&id),
             };
--- a/src/telemetry/gauges.rs
+++ b/src/telemetry/gauges.rs
@@ -175,7 +175,7 @@
         self.paused.record(relay.pauses().count(clock::now()) as u64, &[]);
         let list = relay.servers.version();
         self.list_term.record(list.term.0, &[]);
-        self.list_place.record(list.place, &[]);
+        self.list_place.record(list.sequence, &[]);
         self.record_distances(relay);
         let Some(table) = relay.table() else {
             return;
--- a/tests/control_bytes.rs
+++ b/tests/control_bytes.rs
@@ -22,7 +22,7 @@
 };
 use emberturn::peer::packed::Packed;
 use emberturn::relay::list::{
-    ContentHash, ListIndex, ListPart, ListVersion, Listed, PartId, Server,
+    ContentHash, ListIndex, ListPart, ListVersion, ListedServer, PartId, Server,
 };
 use emberturn::relay::part_loads::{PartLoads, PlacedLoad, named, placed};
 use emberturn::units::{Millis, RequestRate};
@@ -181,12 +181,15 @@
         let id = PartId {
             service: "huvo11a".parse().unwrap(),
             data_centre: format!("gauteng-{}", place % 4).parse().unwrap(),
-            bits: 6,
-            place,
+            prefix_bits: 6,
+            prefix: place,
         };
         (id, ContentHash(place.wrapping_mul(0x9e37_79b9_7f4a_7c15)))
     };
-    ListIndex::new(ListVersion { term: Term(4), place: 12 }, (0..fleet.parts).map(part).collect())
+    ListIndex::new(
+        ListVersion { term: Term(4), sequence: 12 },
+        (0..fleet.parts).map(part).collect(),
+    )
 }
 
 fn part(name: &str, count: u64) -> ListPart {
@@ -201,8 +204,9 @@
         leaves_in: (number == 1).then_some(Millis(3_000)),
         spot: number == 2,
     };
-    let servers: Vec<_> =
-        (0..count).map(|number| Listed { server: listed(number), life: LIFE }).collect();
+    let servers: Vec<_> = (0..count)
+        .map(|number| ListedServer { server: listed(number), incarnation: LIFE })
+        .collect();
     let id = format!("svc/{name}/0/0").parse().unwrap();
     ListPart::new(id, ContentHash::of(&servers), &servers, Millis(0))
 }
--- a/tests/readers.rs
+++ b/tests/readers.rs
@@ -16,7 +16,7 @@
 use emberturn::platform::{document, headers, moves, report};
 use emberturn::relay::list::Server;
 use emberturn::relay::list_registry::ListRegistry;
-use emberturn::relay::listing::{EntryFault, Listing, Unread};
+use emberturn::relay::listing::{EntryError, Listing, UnreadableEntry};
 use emberturn_fakes::http;
 use hyper::StatusCode;
 use proptest::prelude::*;
@@ -122,7 +122,7 @@
         let mut listed = entries(count);
         listed[place] = with_raw(place, name, &value);
         let listing = read(&page(&listed));
-        prop_assert_eq!(listing.servers.len() + listing.unread.len(), count);
+        prop_assert_eq!(listing.servers.len() + listing.unreadable.len(), count);
         let others: Vec<_> = (0..count).filter(|it| *it != place).collect();
         let found: Vec<_> =
             listing.servers.iter().filter(|it| others.iter().any(|place| it.addr.port() as usize == 1_000 + place)).cloned().collect();
@@ -233,8 +233,8 @@
     listed[1] = with_raw(1, name, value);
     let listing = read(&page(&listed));
     assert_eq!(ids(&listing.servers), ["i-0", "i-2"]);
-    let unread = &listing.unread[0];
-    let EntryFault::Field(field) = unread.fault else { panic!("{unread:?}") };
+    let unread = &listing.unreadable[0];
+    let EntryError::InvalidField(field) = unread.error else { panic!("{unread:?}") };
     assert_eq!(field, name);
     let id = unread.id.as_ref().map(|id| id.as_str());
     assert_eq!(id, (name != "id").then_some("i-1"));
@@ -270,7 +270,7 @@
     let mut listed = entries(3);
     listed[1] = bytes.to_vec();
     let listing = read(&page(&listed));
-    assert_eq!((ids(&listing.servers), listing.unread.len()), (vec!["i-0", "i-2"], 1));
+    assert_eq!((ids(&listing.servers), listing.unreadable.len()), (vec!["i-0", "i-2"], 1));
 }
 
 #[test]
@@ -307,8 +307,8 @@
 
 fn unread(id: Option<&str>, addr: Option<SocketAddr>) -> Listing {
     let id = id.map(|id| id.parse().unwrap());
-    let unread = vec![Unread { id, addr, fault: EntryFault::Field("state") }];
-    Listing { servers: servers(&[0]), unread }
+    let unread = vec![UnreadableEntry { id, addr, error: EntryError::InvalidField("state") }];
+    Listing { servers: servers(&[0]), unreadable: unread }
 }
 
 #[parameterized(
@@ -323,13 +323,13 @@
     stays: bool,
 ) {
     let mut book = ListRegistry::default();
-    book.put(Term(1), servers(&[0, 1]), Instant::now());
+    book.apply_listing(Term(1), servers(&[0, 1]), Instant::now());
     for _ in 0..3 {
-        book.put(Term(1), unread(id, addr), Instant::now());
+        book.apply_listing(Term(1), unread(id, addr), Instant::now());
         let expected: &[&str] = if stays { &["i-0", "i-1"] } else { &["i-0"] };
         assert_eq!(listed(&book), expected);
     }
-    book.put(Term(1), servers(&[0]), Instant::now());
+    book.apply_listing(Term(1), servers(&[0]), Instant::now());
     assert_eq!(listed(&book), ["i-0"], "it is gone from the list");
 }
 
@@ -339,11 +339,11 @@
     other[0].addr = ([10, 0, 0, 9], 9).into();
     let both = [other.clone(), known.clone()].concat();
     let mut book = ListRegistry::default();
-    book.put(Term(1), both.clone(), Instant::now());
+    book.apply_listing(Term(1), both.clone(), Instant::now());
     assert_eq!(listed(&book), ["i-0"], "nothing tells which one is meant");
     let mut book = ListRegistry::default();
-    book.put(Term(1), known.clone(), Instant::now());
-    book.put(Term(1), both, Instant::now());
+    book.apply_listing(Term(1), known.clone(), Instant::now());
+    book.apply_listing(Term(1), both, Instant::now());
     assert_eq!(book.servers().iter().map(|it| it.addr).collect::<Vec<_>>().len(), 2);
     assert!(book.servers().contains(&known[1]));
 }
@@ -352,10 +352,10 @@
 fn entry_that_is_there_twice_is_one_and_leaving_if_one_says_so() {
     let mut both = servers(&[0, 1, 1]);
     let mut book = ListRegistry::default();
-    book.put(Term(1), both.clone(), Instant::now());
+    book.apply_listing(Term(1), both.clone(), Instant::now());
     assert_eq!(listed(&book), ["i-0", "i-1"]);
     both[2].leaving = true;
-    book.put(Term(1), both, Instant::now());
+    book.apply_listing(Term(1), both, Instant::now());
     assert!(book.servers().iter().any(|it| it.leaving && it.id.as_str() == "i-1"));
 }
 
@@ -393,5 +393,5 @@
     listed.push(with_raw(2, "zone", b"\"\xc3\x28\""));
     let (client, _) = platform(vec![page(&listed)]).await;
     let listing = client.list(LIMIT).await.unwrap();
-    assert_eq!((ids(&listing.servers), listing.unread.len()), (vec!["i-0", "i-1"], 1));
+    assert_eq!((ids(&listing.servers), listing.unreadable.len()), (vec!["i-0", "i-1"], 1));
 }
--- a/tests/server_list.rs
+++ b/tests/server_list.rs
@@ -8,7 +8,7 @@
 use emberturn::ids::{BackendId, BoxId, DataCentre, Region, Term};
 use emberturn::peer::packed::Packed;
 use emberturn::relay::list::{ListIndex, PartId, Server};
-use emberturn::relay::list_registry::{ListRegistry, PARTS_LIMIT};
+use emberturn::relay::list_registry::{ListRegistry, MAX_PARTS_PER_ANSWER};
 use emberturn::relay::servers::ServerTable;
 use emberturn::units::Millis;
 use proptest::prelude::*;
@@ -96,7 +96,7 @@
 
 /// As [`follow`], with an index that the leader gave.
 fn take(book: &ServerTable, leader: &mut ListRegistry, index: &ListIndex) -> Vec<usize> {
-    if book.index_print() == Some(index.print) && book.lacking().is_empty() {
+    if book.index_print() == Some(index.hash) && book.lacking().is_empty() {
         return Vec::new();
     }
     let mut bytes = vec![serde_json::to_string(&Packed(index)).unwrap().len()];
@@ -106,8 +106,8 @@
         if lacking.is_empty() {
             return bytes;
         }
-        let parts = leader.contents(&lacking, Instant::now());
-        assert!(!parts.is_empty() && parts.len() <= PARTS_LIMIT);
+        let parts = leader.list_parts(&lacking, Instant::now());
+        assert!(!parts.is_empty() && parts.len() <= MAX_PARTS_PER_ANSWER);
         bytes.push(serde_json::to_string(&Packed(&parts)).unwrap().len());
         book.apply_parts(parts);
     }
@@ -125,7 +125,7 @@
         let (mut leader, mut term, box_id) = (ListRegistry::default(), 1, box_id(1));
         let (at_times, always) = (ServerTable::default(), ServerTable::default());
         for (numbers, heard) in lists.iter().zip(heard) {
-            leader.put(Term(term), servers(numbers), Instant::now());
+            leader.apply_listing(Term(term), servers(numbers), Instant::now());
             follow(&always, &mut leader, &box_id);
             let listed: Vec<_> = {
                 let mut ids: Vec<_> = leader.servers().iter().map(|it| it.id.clone()).collect();
@@ -150,7 +150,7 @@
     #[test]
     fn box_holds_a_bounded_part(count in 1_u32..3_000, place in 0_u32..500) {
         let mut leader = ListRegistry::default();
-        leader.put(Term(1), engines(count), Instant::now());
+        leader.apply_listing(Term(1), engines(count), Instant::now());
         let book = ServerTable::default();
         follow(&book, &mut leader, &box_id(place));
         let by_centre = bounded_part(&book, count as usize)?;
@@ -162,9 +162,9 @@
     fn box_holds_mostly_what_is_near(count in 1_u32..3_000, place in 0_u32..500) {
         let regions = (0..7).map(|it| (format!("dc-{it}").parse().unwrap(), region(it)));
         let mut leader = ListRegistry::new(regions.collect());
-        leader.put(Term(1), engines(count), Instant::now());
+        leader.apply_listing(Term(1), engines(count), Instant::now());
         let own = format!("dc-{}", place % 7).parse().unwrap();
-        let index = leader.index_at(&box_id(place), Some(&own));
+        let index = leader.index_for_location(&box_id(place), Some(&own));
         let book = ServerTable::default();
         take(&book, &mut leader, &index);
         let by_centre = bounded_part(&book, count as usize)?;
@@ -204,13 +204,13 @@
 fn box_that_has_the_list_before_hears_only_of_the_parts_that_changed() {
     let (mut leader, book) = (ListRegistry::default(), ServerTable::default());
     let all: Vec<_> = (0..204).map(|number| (number, false)).collect();
-    leader.put(Term(1), servers(&all), Instant::now()).unwrap();
-    assert!(leader.put(Term(1), servers(&all), Instant::now()).is_none());
+    leader.apply_listing(Term(1), servers(&all), Instant::now()).unwrap();
+    assert!(leader.apply_listing(Term(1), servers(&all), Instant::now()).is_none());
     follow(&book, &mut leader, &box_id(1));
     assert!(follow(&book, &mut leader, &box_id(1)).is_empty());
     let mut next = all.clone();
     (next[3].1, next[9].0) = (true, 300);
-    leader.put(Term(1), servers(&next), Instant::now()).unwrap();
+    leader.apply_listing(Term(1), servers(&next), Instant::now()).unwrap();
     book.apply_index(ListIndex::clone(&leader.index(&box_id(1))));
     // One is leaving, one is gone and one has come, in three parts at most.
     assert!((1..=3).contains(&book.lacking().len()), "{:?}", book.lacking());
@@ -220,13 +220,13 @@
 fn time_that_passes_until_a_server_goes_is_no_news() {
     let (mut leader, now) = (ListRegistry::default(), Instant::now());
     let mut listed = servers(&[(1, true), (2, false)]);
-    leader.put(Term(1), listed.clone(), now).unwrap();
+    leader.apply_listing(Term(1), listed.clone(), now).unwrap();
     listed[0].leaves_in = Some(Millis(3_500));
-    assert!(leader.put(Term(1), listed, now).is_none());
+    assert!(leader.apply_listing(Term(1), listed, now).is_none());
     // Whoever fetches the part later is told what is left then.
     let parts: Vec<_> =
         leader.index(&box_id(1)).parts.iter().map(|(part, _)| part.clone()).collect();
-    let contents = leader.contents(&parts, now + std::time::Duration::from_millis(500));
+    let contents = leader.list_parts(&parts, now + std::time::Duration::from_millis(500));
     let left: Vec<_> =
         contents.iter().flat_map(|part| part.servers()).map(|it| it.leaves_in).collect();
     assert!(left.contains(&Some(Millis(3_000))), "{left:?}");
@@ -237,7 +237,7 @@
     let book = ServerTable::default();
     for term in 1..4 {
         let mut leader = ListRegistry::default();
-        leader.put(Term(term), engines(900), Instant::now());
+        leader.apply_listing(Term(term), engines(900), Instant::now());
         let bytes = follow(&book, &mut leader, &box_id(7));
         assert_eq!(bytes.is_empty(), term > 1, "{bytes:?}");
     }
@@ -247,7 +247,7 @@
 fn server_that_was_seen_leaving_leaves_for_good() {
     let (mut leader, book) = (ListRegistry::default(), ServerTable::default());
     for leaving in [false, true, false] {
-        leader.put(Term(1), servers(&[(1, leaving), (2, false)]), Instant::now());
+        leader.apply_listing(Term(1), servers(&[(1, leaving), (2, false)]), Instant::now());
         follow(&book, &mut leader, &box_id(1));
     }
     let open: Vec<_> = known(&book).into_iter().map(|(_, open)| open).collect();
@@ -259,11 +259,11 @@
 fn servers_that_leave_are_told_of_once() {
     let (mut leader, book) = (ListRegistry::default(), ServerTable::default());
     let all = |leaving| (0..20).map(|number| (number, leaving && number != 3)).collect::<Vec<_>>();
-    leader.put(Term(1), servers(&all(false)), Instant::now());
+    leader.apply_listing(Term(1), servers(&all(false)), Instant::now());
     follow(&book, &mut leader, &box_id(1));
-    leader.put(Term(1), servers(&all(true)), Instant::now());
+    leader.apply_listing(Term(1), servers(&all(true)), Instant::now());
     book.apply_index(ListIndex::clone(&leader.index(&box_id(1))));
-    let news = leader.contents(&book.lacking(), Instant::now());
+    let news = leader.list_parts(&book.lacking(), Instant::now());
     assert_eq!(book.apply_parts(news.clone()).len(), 19);
     assert!(book.apply_parts(news).is_empty());
 }
@@ -272,8 +272,8 @@
 fn word_of_an_older_list_is_passed_over() {
     let (mut old, mut new, book) =
         (ListRegistry::default(), ListRegistry::default(), ServerTable::default());
-    old.put(Term(1), servers(&[(1, false)]), Instant::now()).unwrap();
-    new.put(Term(2), servers(&[(2, false)]), Instant::now()).unwrap();
+    old.apply_listing(Term(1), servers(&[(1, false)]), Instant::now()).unwrap();
+    new.apply_listing(Term(2), servers(&[(2, false)]), Instant::now()).unwrap();
     follow(&book, &mut new, &box_id(1));
     let held = ids(&book);
     book.apply_index(ListIndex::clone(&old.index(&box_id(1))));
@@ -283,17 +283,17 @@
 #[test]
 fn former_parts_serve_until_all_of_the_new_ones_are_there() {
     let (mut leader, book) = (ListRegistry::default(), ServerTable::default());
-    leader.put(Term(1), servers(&[(0, false)]), Instant::now());
+    leader.apply_listing(Term(1), servers(&[(0, false)]), Instant::now());
     follow(&book, &mut leader, &box_id(1));
-    leader.put(Term(1), servers(&[(1, false), (2, false)]), Instant::now());
+    leader.apply_listing(Term(1), servers(&[(1, false), (2, false)]), Instant::now());
     book.apply_index(ListIndex::clone(&leader.index(&box_id(1))));
     assert_eq!(
         ids(&book),
         servers(&[(0, false)]).iter().map(|it| it.id.clone()).collect::<Vec<_>>()
     );
-    book.apply_parts(leader.contents(&book.lacking()[..1], Instant::now()));
+    book.apply_parts(leader.list_parts(&book.lacking()[..1], Instant::now()));
     assert_eq!(ids(&book).len(), 2);
-    book.apply_parts(leader.contents(&book.lacking(), Instant::now()));
+    book.apply_parts(leader.list_parts(&book.lacking(), Instant::now()));
     assert_eq!(
         ids(&book),
         servers(&[(1, false), (2, false)]).iter().map(|it| it.id.clone()).collect::<Vec<_>>()
@@ -303,9 +303,9 @@
 #[test]
 fn part_that_is_no_longer_there_is_left_out() {
     let mut leader = ListRegistry::default();
-    leader.put(Term(1), servers(&[(1, false)]), Instant::now());
+    leader.apply_listing(Term(1), servers(&[(1, false)]), Instant::now());
     let gone: PartId = "svc-1/dc-1/3/5".parse().unwrap();
-    assert!(leader.contents(&[gone], Instant::now()).is_empty());
+    assert!(leader.list_parts(&[gone], Instant::now()).is_empty());
     for text in ["", "a/b/1", "a/b/c/1", "a/b/1/2/3", "a b/c/1/2"] {
         assert!(text.parse::<PartId>().is_err(), "{text}");
     }
@@ -316,7 +316,7 @@
 #[test]
 fn start_takes_few_bytes_however_large_the_fleet() {
     let mut leader = ListRegistry::default();
-    leader.put(Term(1), engines(5_200), Instant::now());
+    leader.apply_listing(Term(1), engines(5_200), Instant::now());
     let mut all = 0;
     for place in 0..480 {
         let bytes = follow(&ServerTable::default(), &mut leader, &box_id(place));
@@ -332,7 +332,7 @@
 #[test]
 fn each_server_is_known_by_some_boxes() {
     let mut leader = ListRegistry::default();
-    leader.put(Term(1), engines(3_000), Instant::now());
+    leader.apply_listing(Term(1), engines(3_000), Instant::now());
     let mut counts: BTreeMap<BackendId, u32> = BTreeMap::new();
     for place in 0..300 {
         let index = leader.index(&box_id(place));
@@ -351,12 +351,12 @@
     let regions = (0..7).map(|it| (format!("dc-{it}").parse().unwrap(), region(it)));
     let mut leader = ListRegistry::new(regions.collect());
     let all = engines(3_000);
-    leader.put(Term(1), all.clone(), Instant::now());
+    leader.apply_listing(Term(1), all.clone(), Instant::now());
     let mut counts: BTreeMap<BackendId, (u32, u32)> = BTreeMap::new();
     let homes: BTreeMap<_, _> = all.iter().map(|it| (&it.id, it.data_centre.as_str())).collect();
     for place in 0..300 {
         let own = format!("dc-{}", place % 7).parse().unwrap();
-        let index = leader.index_at(&box_id(place), Some(&own));
+        let index = leader.index_for_location(&box_id(place), Some(&own));
         for id in leader.listed_parts(&index).into_iter().flat_map(|(_, servers)| servers) {
             let centre: u32 = homes[id].trim_start_matches("dc-").parse().unwrap();
             let (near, far) = counts.entry(id.clone()).or_default();
@@ -387,23 +387,23 @@
 fn parts_are_packed_once_for_all_boxes_and_say_what_contents_says() {
     let (mut leader, now) = (ListRegistry::default(), Instant::now());
     let mut listed = servers(&(0..200).map(|id| (id, id == 7)).collect::<Vec<_>>());
-    leader.put(Term(1), listed.clone(), now).unwrap();
+    leader.apply_listing(Term(1), listed.clone(), now).unwrap();
     let ids: Vec<_> = leader.index(&box_id(1)).parts.iter().map(|(id, _)| id.clone()).collect();
-    let ids = &ids[..PARTS_LIMIT.min(ids.len())];
+    let ids = &ids[..MAX_PARTS_PER_ANSWER.min(ids.len())];
     let later = now + std::time::Duration::from_millis(500);
-    let packed = leader.packed_contents(ids, later);
-    assert_eq!(packed.unpack().unwrap(), leader.contents(ids, later));
+    let packed = leader.packed_parts(ids, later);
+    assert_eq!(packed.unpack().unwrap(), leader.list_parts(ids, later));
     // The next box gets the same bytes, and after another reading all that has not changed stays packed.
     let same =
         |a: &[Arc<str>], b: &[Arc<str>]| a.iter().zip(b).filter(|(a, b)| Arc::ptr_eq(a, b)).count();
-    let again = leader.packed_contents(ids, later);
+    let again = leader.packed_parts(ids, later);
     assert_eq!(same(&packed.parts, &again.parts), ids.len());
     let place = listed.iter().position(|it| !it.leaving).unwrap();
     listed.remove(place);
-    leader.put(Term(1), listed, later).unwrap();
-    let next = leader.packed_contents(ids, later);
+    leader.apply_listing(Term(1), listed, later).unwrap();
+    let next = leader.packed_parts(ids, later);
     let kept = same(&packed.parts, &next.parts);
     // One part lost a server, and one holds the server that leaves, whose time left passes.
     assert!((ids.len() - 2..ids.len()).contains(&kept), "{kept} of {}", ids.len());
-    assert_eq!(next.unpack().unwrap(), leader.contents(ids, later));
+    assert_eq!(next.unpack().unwrap(), leader.list_parts(ids, later));
 }
--- a/tests/server_lives.rs
+++ b/tests/server_lives.rs
@@ -14,7 +14,7 @@
 use emberturn::relay::call::{Load, Report};
 use emberturn::relay::known::Known;
 use emberturn::relay::list::{
-    ContentHash, IncarnationReport, ListIndex, ListPart, ListVersion, Listed, Server,
+    ContentHash, IncarnationReport, ListIndex, ListPart, ListVersion, ListedServer, Server,
 };
 use emberturn::relay::list_registry::ListRegistry;
 use emberturn::relay::servers::ServerTable;
@@ -64,9 +64,9 @@
 
 /// Has a box take a list with the server as some leader knows it.
 fn take(book: &ServerTable, place: u64, server: Server, life: Incarnation) {
-    let listed = [Listed { server, life }];
+    let listed = [ListedServer { server, incarnation: life }];
     let (print, id) = (ContentHash::of(&listed), "svc/here/0/0".parse().unwrap());
-    let version = ListVersion { term: Term(1), place };
+    let version = ListVersion { term: Term(1), sequence: place };
     book.apply_index(ListIndex::new(version, vec![(id, print)]));
     let id = "svc/here/0/0".parse().unwrap();
     book.apply_parts(vec![ListPart::new(id, print, &listed, Millis(0))]);
@@ -195,11 +195,11 @@
         let newest = *lives.iter().max().unwrap();
         for lives in [&lives, &other] {
             let mut leader = ListRegistry::default();
-            leader.put(Term(1), vec![server(false)], moment(0));
+            leader.apply_listing(Term(1), vec![server(false)], moment(0));
             for life in lives {
                 leader.apply_incarnation(&told(Incarnation(base.0 + life * 2_000)), moment(50_000));
             }
-            leader.renew(Term(1), moment(50_000));
+            leader.rebuild(Term(1), moment(50_000));
             let keys: Vec<_> = leader.keys().collect();
             prop_assert_eq!(keys, [key(Incarnation(base.0 + newest * 2_000))]);
         }
@@ -309,9 +309,9 @@
 fn shown(leader: &mut ListRegistry) -> (Incarnation, bool) {
     let index = leader.index(&"box".parse().unwrap());
     let parts: Vec<_> = index.parts.iter().map(|(part, _)| part.clone()).collect();
-    let contents = leader.contents(&parts, Instant::now());
-    let listed = contents[0].listed().next().unwrap();
-    (listed.life, listed.server.leaving)
+    let contents = leader.list_parts(&parts, Instant::now());
+    let listed = contents[0].listed_servers().next().unwrap();
+    (listed.incarnation, listed.server.leaving)
 }
 
 /// A notice that the list shows when a server has just started again is of the former life, unless the list
@@ -327,18 +327,18 @@
     let lag = LIST_LAG.as_millis() as u64;
     let began = Incarnation(base.0 + 10_000);
     let mut leader = ListRegistry::default();
-    leader.put(Term(1), vec![server(true)], moment(0));
+    leader.apply_listing(Term(1), vec![server(true)], moment(0));
     assert_eq!(shown(&mut leader), (NONE, true));
     leader.apply_incarnation(&told(began), moment(10_500));
-    leader.put(Term(1), vec![server(true)], moment(10_600));
+    leader.apply_listing(Term(1), vec![server(true)], moment(10_600));
     assert_eq!(shown(&mut leader), (began, false));
     let mut other = ListRegistry::default();
-    other.put(Term(2), vec![server(true)], moment(10_000 + lag - 1));
+    other.apply_listing(Term(2), vec![server(true)], moment(10_000 + lag - 1));
     other.apply_incarnation(&told(began), moment(10_000 + lag - 1));
-    other.renew(Term(2), moment(10_000 + lag - 1));
+    other.rebuild(Term(2), moment(10_000 + lag - 1));
     assert_eq!(shown(&mut other), (began, false), "a new leader");
     for leader in [&mut leader, &mut other] {
-        leader.put(Term(2), vec![server(true)], moment(10_000 + lag));
+        leader.apply_listing(Term(2), vec![server(true)], moment(10_000 + lag));
         assert_eq!(shown(leader), (began, true));
     }
 }
@@ -349,25 +349,25 @@
     let (start, base) = (Instant::now(), UnixMillis::now());
     let moment = |time: Duration| Moment { at: start + time, unix: UnixMillis(base.0 - 3_600_000) };
     let mut leader = ListRegistry::default();
-    leader.put(Term(1), vec![server(false)], moment(Duration::ZERO));
+    leader.apply_listing(Term(1), vec![server(false)], moment(Duration::ZERO));
     leader.apply_incarnation(&told(Incarnation(base.0)), moment(Duration::ZERO));
-    leader.put(Term(1), vec![server(true)], moment(LIST_LAG));
+    leader.apply_listing(Term(1), vec![server(true)], moment(LIST_LAG));
     assert_eq!(shown(&mut leader), (Incarnation(base.0), true));
 }
 
 #[test]
 fn word_from_another_address_is_of_another_life() {
     let mut leader = ListRegistry::default();
-    leader.put(Term(1), vec![server(false)], Instant::now());
+    leader.apply_listing(Term(1), vec![server(false)], Instant::now());
     leader.apply_incarnation(&told(former()), Instant::now());
     let moved = Server { addr: addr(2), ..server(false) };
-    leader.put(Term(1), vec![moved.clone()], Instant::now());
+    leader.apply_listing(Term(1), vec![moved.clone()], Instant::now());
     assert_eq!(leader.apply_incarnation(&told(former()), Instant::now()), Heard::Earlier);
     assert_eq!(shown(&mut leader), (NONE, false));
     let mut new = ListRegistry::default();
-    new.put(Term(2), vec![moved.clone()], Instant::now());
+    new.apply_listing(Term(2), vec![moved.clone()], Instant::now());
     assert_eq!(new.apply_incarnation(&told(former()), Instant::now()), Heard::Earlier);
-    new.renew(Term(2), Instant::now());
+    new.rebuild(Term(2), Instant::now());
     assert_eq!(shown(&mut new), (NONE, false));
     let book = ServerTable::default();
     take(&book, 1, server(true), former());
@@ -598,7 +598,7 @@
 
 /// Has a box take a list without any server.
 fn take_none(book: &ServerTable, place: u64) {
-    let version = ListVersion { term: Term(1), place };
+    let version = ListVersion { term: Term(1), sequence: place };
     book.apply_index(ListIndex::new(version, Vec::new()));
 }
 
--- a/tests/support/platform.rs
+++ b/tests/support/platform.rs
@@ -204,10 +204,10 @@
     pub fn list_as(&self, servers: Vec<Server>) {
         let box_id = "relay".parse().unwrap();
         let mut leader = self.leader.lock().unwrap();
-        leader.put(Term(1), servers, Instant::now());
+        leader.apply_listing(Term(1), servers, Instant::now());
         let index = leader.index(&box_id);
         self.relay.put_index(ListIndex::clone(&index));
-        self.relay.put_parts(leader.contents(&self.relay.servers.lacking(), Instant::now()));
+        self.relay.put_parts(leader.list_parts(&self.relay.servers.lacking(), Instant::now()));
         assert!(self.relay.servers.lacking().is_empty());
     }
 
