--- a/src/control/demand.rs
+++ b/src/control/demand.rs
@@ -62,7 +62,7 @@
 /// Sends demands until the task is dropped.
 pub(crate) async fn run(relay: Arc<Relay>, access: Access, box_id: BoxId, life: Incarnation) {
     loop {
-        relay.demanded.notified().await;
+        relay.demand_requested.notified().await;
         let report = relay.allowances().demand(clock::now());
         if let Some(report) = report {
             let (relay, access, box_id) = (relay.clone(), access.clone(), box_id.clone());
@@ -79,10 +79,10 @@
     mut report: DemandReport,
 ) {
     let (turn, teams) = (report.turn, std::mem::take(&mut report.teams));
-    let relays = relay.relays_told();
+    let relays = relay.known_relay_count();
     let demand = DemandRequest { version: VERSION, box_id, life, turn, relays, teams };
     let answer = access.demand(&demand, ANSWER_TIME).await;
-    relay.parts.metrics.count_demand(if answer.is_ok() { "answered" } else { "unanswered" });
+    relay.context.metrics.count_demand(if answer.is_ok() { "answered" } else { "unanswered" });
     match answer {
         Ok(reply) => relay.allowances().apply_grants(&report, &reply.grants, clock::now()),
         Err(error) => {
@@ -90,9 +90,9 @@
             relay.allowances().close(&report);
         }
     }
-    relay.heard.notify_waiters();
+    relay.leader_replied.notify_waiters();
     // Requests that came meanwhile, or found more demands waiting than may.
-    relay.demanded.notify_one();
+    relay.demand_requested.notify_one();
 }
 
 /// Answers a box's demand, if this process leads.
--- a/src/control/fetch.rs
+++ b/src/control/fetch.rs
@@ -24,7 +24,7 @@
     loop {
         let mut wanted = relay.servers.lacking();
         if wanted.is_empty() {
-            relay.wanted.notified().await;
+            relay.index_changed.notified().await;
             continue;
         }
         wanted.truncate(MAX_PARTS_PER_ANSWER);
@@ -47,7 +47,7 @@
     match packed.unpack() {
         Ok(parts) => {
             let came = parts.len();
-            relay.put_parts(parts);
+            relay.apply_parts(parts);
             came
         }
         Err(error) => {
--- a/src/control/heartbeat.rs
+++ b/src/control/heartbeat.rs
@@ -138,14 +138,14 @@
         let listed = relay.servers.index_print().is_some();
         failed = if heard && listed { 0 } else { failed + 1 };
         let pause = match (failed > 0, relay.releases().is_soon()) {
-            (true, _) => retry_time(relay.relays(), failed - 1),
+            (true, _) => retry_time(relay.relay_count(), failed - 1),
             (false, true) => SOON_TIME,
-            (false, false) => relay.interval(),
+            (false, false) => relay.heartbeat_interval(),
         };
         let jitter = rand::rng().random_range(0.85..1.15);
         let hurried = async {
             tokio::time::sleep(HURRY_TIME).await;
-            relay.hurry.notified().await;
+            relay.heartbeat_requested.notified().await;
         };
         let _ = tokio::time::timeout(pause.mul_f64(jitter), hurried).await;
     }
@@ -165,11 +165,11 @@
     let news = told.telling.news(turn, relay.usage().counts(), relay.engines().learned());
     let beat = BoxHeartbeat {
         box_id: box_id.clone(),
-        data_centre: Some(relay.parts.topology.own().clone()),
+        data_centre: Some(relay.context.topology.own().clone()),
         life,
         list: relay.servers.index_print(),
-        revision: relay.parts.board.revision(),
-        document: relay.parts.board.document().version,
+        revision: relay.context.board.revision(),
+        document: relay.context.board.document().version,
         whole: news.whole,
         usage: news.usage.clone(),
         offered: relay.offered().rates(Instant::now()),
@@ -183,11 +183,11 @@
         quarantine: relay.quarantine().tell(Instant::now()),
         turn,
         after: news.after,
-        relays: relay.relays_told(),
+        relays: relay.known_relay_count(),
     };
     match access.beat(&beat, ANSWER_TIME).await {
         Ok(reply) => {
-            relay.set_interval(reply.interval.duration());
+            relay.set_heartbeat_interval(reply.interval.duration());
             relay.allowances().apply_grants(&report, &reply.allowed, clock::now());
             relay.releases().hear(reply.releases);
             if let Some(word) = reply.engines {
@@ -197,17 +197,17 @@
             relay.servers.apply_placed_loads(&reply.loads);
             // After a stop of everything the leader knows this about 0.3 s before the other replicas can be sure.
             let age = reply.age.map(Duration::from_millis);
-            relay.parts.board.record_answer(reply.document, access.leader(), asked, age);
+            relay.context.board.record_answer(reply.document, access.leader(), asked, age);
             quarantine::take_answer(relay, &beat.quarantine, reply.quarantine, reply.lacks);
             relay.usage().forget(reply.settled);
             told.telling.answered(news, reply.lacks, reply.settled);
             if reply.lacks {
-                relay.hurry.notify_one();
+                relay.heartbeat_requested.notify_one();
             }
-            relay.set_relays(reply.relays);
-            relay.heard.notify_waiters();
+            relay.set_relay_count(reply.relays);
+            relay.leader_replied.notify_waiters();
             if let Some(news) = reply.list {
-                relay.put_index(Arc::unwrap_or_clone(news));
+                relay.apply_index(Arc::unwrap_or_clone(news));
             }
             true
         }
--- a/src/control/throttle.rs
+++ b/src/control/throttle.rs
@@ -89,12 +89,12 @@
         Reporter { relay: relay.clone(), access, box_id, life, turn: 0, clock: None };
     loop {
         if relay.throttles().is_empty() {
-            relay.limited.notified().await;
+            relay.limit_changed.notified().await;
         }
         reporter.exchange().await;
         tokio::time::sleep(LEAST_TIME).await;
-        let pause = relay.interval().saturating_sub(LEAST_TIME);
-        let _ = tokio::time::timeout(pause, relay.limited.notified()).await;
+        let pause = relay.heartbeat_interval().saturating_sub(LEAST_TIME);
+        let _ = tokio::time::timeout(pause, relay.limit_changed.notified()).await;
     }
 }
 
--- a/src/node/relay.rs
+++ b/src/node/relay.rs
@@ -11,7 +11,7 @@
 use crate::group::join::Joiner;
 use crate::platform::operator;
 use crate::relay::listen::Listeners;
-use crate::relay::{Relay, RelayParts, ends, lives};
+use crate::relay::{Relay, RelayContext, ends, lives};
 use crate::settings::Role;
 use crate::state::document::{Document, Version};
 
@@ -26,7 +26,7 @@
         else {
             return Ok(());
         };
-        let relay = Arc::new(Relay::new(RelayParts {
+        let relay = Arc::new(Relay::new(RelayContext {
             settings,
             topology: self.settings.topology(),
             board: self.board.clone(),
@@ -63,8 +63,8 @@
         if document.version <= held {
             return;
         }
-        match relay.parts.dialect.read_table(&document.text) {
-            Ok(table) => relay.put_table(Arc::new(table)),
+        match relay.context.dialect.read_table(&document.text) {
+            Ok(table) => relay.apply_table(Arc::new(table)),
             Err(reason) => {
                 tracing::error!(event = "document_invalid", version = %document.version, reason);
             }
--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -155,7 +155,7 @@
         true => Reuse::Any,
         false => Reuse::Rested(REST_LIMIT),
     };
-    let sent = relay.parts.pool.send(known.server.addr, request, limit, reuse).await;
+    let sent = relay.context.pool.send(known.server.addr, request, limit, reuse).await;
     let exchange = match sent {
         Ok(exchange) => counted(relay, call, known, exchange),
         Err(fault) => {
@@ -169,7 +169,7 @@
             return Err(SendFailure::of_fault(fault));
         }
     };
-    let head = relay.parts.dialect.read_reply(call, exchange.status, &exchange.headers);
+    let head = relay.context.dialect.read_reply(call, exchange.status, &exchange.headers);
     if let Some(load) = head.load {
         record_load(relay, known, load);
     }
@@ -219,7 +219,7 @@
 /// Counts a request that reached a server, and its answer; a new connection tells how far that is.
 fn counted(relay: &Relay, call: &Call, known: &Known, mut exchange: Exchange) -> Exchange {
     let data_centre = &known.server.data_centre;
-    let reach = relay.parts.topology.reach(data_centre);
+    let reach = relay.context.topology.reach(data_centre);
     relay.traffic.count_send(reach, call.body.len());
     exchange.count_into(relay.traffic.answers(reach));
     if let Some(took) = exchange.connect {
@@ -280,7 +280,7 @@
     if let Some(LimitChange { before, now }) = change {
         let (before, now) = (before.map(field::display), now.map(field::display));
         tracing::info!(event = "server_limit_changed", backend_server = %server.id, before, now);
-        relay.limited.notify_one();
+        relay.limit_changed.notify_one();
     }
 }
 
@@ -296,7 +296,7 @@
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = Uri::from(call.path.clone());
-    *request.headers_mut() = relay.parts.dialect.write_call(call, &hop);
+    *request.headers_mut() = relay.context.dialect.write_call(call, &hop);
     request
 }
 
@@ -308,9 +308,9 @@
 /// The users' retry limit on this box.
 pub fn retry_limit(relay: &Relay) -> RetryLimit {
     RetryLimit {
-        ratio: relay.parts.settings.retry_ratio,
-        floor: relay.parts.settings.retry_floor,
-        boxes: relay.relays_told(),
+        ratio: relay.context.settings.retry_ratio,
+        floor: relay.context.settings.retry_floor,
+        boxes: relay.known_relay_count(),
     }
 }
 
--- a/src/relay/attempts.rs
+++ b/src/relay/attempts.rs
@@ -163,7 +163,7 @@
 
     /// Notes whether the send leaves the region; one line when such sends begin and end to be many.
     fn record_spill(&self, relay: &Relay) {
-        if !relay.parts.topology.is_split() {
+        if !relay.context.topology.is_split() {
             return;
         }
         let news = relay.spills().note(&self.service, self.reach, Instant::now());
@@ -234,7 +234,7 @@
     /// its runs at once, and those that stay would crowd the few servers left. A moved run is still the same
     /// run, so this is no further send.
     pub fn target(&self, relay: &Relay, source: &Known) -> Option<Arc<Known>> {
-        let topology = &relay.parts.topology;
+        let topology = &relay.context.topology;
         let region = topology.region_or_own(&source.server.data_centre);
         let servers = relay.servers.of(&self.service);
         let restraints = Restraints::now(relay, &self.service);
--- a/src/relay/ends.rs
+++ b/src/relay/ends.rs
@@ -123,7 +123,7 @@
         tokio::time::sleep(pause).await;
         let has_ended = known.state.is_over()
             || matches!(
-                relay.parts.pool.probe(known.server.addr).await,
+                relay.context.pool.probe(known.server.addr).await,
                 Err(SendFault::Refused(_))
             );
         if has_ended {
@@ -140,7 +140,7 @@
         return;
     };
     let leaving = !broken.known.is_open();
-    relay.parts.metrics.count_end(leaving);
+    relay.context.metrics.count_end(leaving);
     let requests: Vec<_> = broken.requests.iter().map(Fingerprint::to_string).collect();
     if !leaving {
         quarantine::record_end(relay, broken.told());
--- a/src/relay/listen.rs
+++ b/src/relay/listen.rs
@@ -64,8 +64,8 @@
     /// # Errors
     /// When an address cannot be listened on.
     pub async fn open(relay: &Relay) -> Result<Self> {
-        let callers = server::listen(relay.parts.settings.listen, "callers").await?;
-        let balancer = server::listen(relay.parts.settings.ready, "the balancer").await?;
+        let callers = server::listen(relay.context.settings.listen, "callers").await?;
+        let balancer = server::listen(relay.context.settings.ready, "the balancer").await?;
         tracing::info!(event = "listening", side = "relay", addr = %callers.local_addr()?);
         tracing::info!(event = "listening", side = "ready", addr = %balancer.local_addr()?);
         Ok(Self { callers, balancer })
@@ -75,7 +75,7 @@
     pub fn serve(self, relay: &Arc<Relay>) {
         let serving = relay.clone();
         let handler = move |request| serve::handle(serving.clone(), request);
-        let closing = relay.parts.closing.clone();
+        let closing = relay.context.closing.clone();
         let gate = relay.gate.clone();
         tokio::spawn(server::run(self.callers, gate, closing, handler, too_many));
         let asked = relay.clone();
@@ -83,7 +83,7 @@
             let answer = ready(&asked);
             async move { answer }
         };
-        let limits = Limits { callers: BALANCERS, ..limits(&relay.parts.settings) };
+        let limits = Limits { callers: BALANCERS, ..limits(&relay.context.settings) };
         // The balancer is answered until the process is gone.
         let (open, closing) = watch::channel(false);
         tokio::spawn(async move {
@@ -100,7 +100,7 @@
 
 /// Why the balancer should send no callers here, if it should not.
 fn unready(relay: &Relay) -> Option<&'static str> {
-    if relay.parts.board.phase() == Phase::Draining {
+    if relay.context.board.phase() == Phase::Draining {
         return Some("draining");
     }
     if relay.table().is_none() {
--- a/src/relay/lives.rs
+++ b/src/relay/lives.rs
@@ -25,7 +25,7 @@
 pub async fn run(relay: Arc<Relay>) {
     loop {
         for known in relay.servers.doubtful().await {
-            if relay.tells_lives(&known) {
+            if relay.reports_incarnation(&known) {
                 tokio::spawn(ask(relay.clone(), known));
             }
         }
@@ -36,18 +36,18 @@
     match report(&relay, &known).await {
         Ok(Some(report)) => {
             let heard = relay.servers.apply_report(&known, &report);
-            relay.parts.metrics.count_report("read");
+            relay.context.metrics.count_report("read");
             // The others hear it with this box's next word.
             if heard == Heard::Another {
-                relay.hurry.notify_one();
+                relay.heartbeat_requested.notify_one();
             }
         }
         Ok(None) => {
-            relay.parts.metrics.count_report("unreadable");
+            relay.context.metrics.count_report("unreadable");
             tracing::debug!(event = "report_unreadable", backend_server = %known.server.id);
         }
         Err(fault) => {
-            relay.parts.metrics.count_report("unanswered");
+            relay.context.metrics.count_report("unanswered");
             tracing::debug!(event = "report_unanswered", backend_server = %known.server.id, %fault);
         }
     }
@@ -55,15 +55,15 @@
 
 async fn report(relay: &Relay, known: &Known) -> Result<Option<Report>, SendFault> {
     let addr = known.server.addr;
-    let (path, mut headers) = relay.parts.dialect.write_report(&known.server.id);
+    let (path, mut headers) = relay.context.dialect.write_report(&known.server.id);
     if let Ok(host) = HeaderValue::from_str(&addr.to_string()) {
         headers.insert(HOST, host);
     }
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = Uri::from_static(path);
     *request.headers_mut() = headers;
-    let exchange = relay.parts.pool.send(addr, request, ANSWER_TIME, Reuse::Any).await?;
+    let exchange = relay.context.pool.send(addr, request, ANSWER_TIME, Reuse::Any).await?;
     let status = exchange.status;
     let body = exchange.read_whole(REPORT_LIMIT, ANSWER_TIME).await?;
-    Ok(if status.is_success() { relay.parts.dialect.read_report(&body) } else { None })
+    Ok(if status.is_success() { relay.context.dialect.read_report(&body) } else { None })
 }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -99,7 +99,7 @@
 use usage::UsageCounter;
 
 /// What a relay starts with.
-pub struct RelayParts {
+pub struct RelayContext {
     /// The settings.
     pub settings: RelaySettings,
     /// The regions, as the box sees them.
@@ -119,7 +119,7 @@
 /// What the parts of a relay share.
 pub struct Relay {
     /// What it started with.
-    pub parts: RelayParts,
+    pub context: RelayContext,
     /// The backend servers known.
     pub servers: ServerTable,
     /// The memory that the box has for callers.
@@ -145,30 +145,30 @@
     /// What went to backend servers and came back.
     pub traffic: Traffic,
     /// Relays that share the limits, as the leader last said; 0 before it did.
-    relays: AtomicU32,
+    relay_count: AtomicU32,
     /// Told of new routes and backend servers.
-    learned: Notify,
+    routes_or_servers_changed: Notify,
     /// Told of each word on which parts of the list this box is to have.
-    pub(crate) wanted: Notify,
+    pub(crate) index_changed: Notify,
     /// Asks for a beat before the next one is due.
-    pub(crate) hurry: Notify,
+    pub(crate) heartbeat_requested: Notify,
     /// Asks for a demand for the teams that requests wait for.
-    pub(crate) demanded: Notify,
+    pub(crate) demand_requested: Notify,
     /// Told of each change of a server's limit.
-    pub(crate) limited: Notify,
+    pub(crate) limit_changed: Notify,
     /// Told of each beat and each demand that was answered.
-    pub(crate) heard: Notify,
+    pub(crate) leader_replied: Notify,
 }
 
 impl Relay {
     /// A relay that knows no routes and no backend servers yet.
-    pub fn new(parts: RelayParts) -> Self {
-        let usage = UsageCounter::new(parts.settings.usage_window.duration());
-        let servers = ServerTable::new(parts.topology.clone());
-        let memory = Memory::within(parts.settings.memory);
-        let gate = Gate::charged(listen::limits(&parts.settings), memory.clone());
+    pub fn new(context: RelayContext) -> Self {
+        let usage = UsageCounter::new(context.settings.usage_window.duration());
+        let servers = ServerTable::new(context.topology.clone());
+        let memory = Memory::within(context.settings.memory);
+        let gate = Gate::charged(listen::limits(&context.settings), memory.clone());
         Self {
-            parts,
+            context,
             servers,
             memory,
             gate,
@@ -187,13 +187,13 @@
             pauses: Mutex::default(),
             ends: EndWatch::default(),
             traffic: Traffic::default(),
-            relays: AtomicU32::new(0),
-            learned: Notify::new(),
-            wanted: Notify::new(),
-            hurry: Notify::new(),
-            demanded: Notify::new(),
-            limited: Notify::new(),
-            heard: Notify::new(),
+            relay_count: AtomicU32::new(0),
+            routes_or_servers_changed: Notify::new(),
+            index_changed: Notify::new(),
+            heartbeat_requested: Notify::new(),
+            demand_requested: Notify::new(),
+            limit_changed: Notify::new(),
+            leader_replied: Notify::new(),
         }
     }
 
@@ -203,7 +203,7 @@
     }
 
     /// Puts routes in force. Older ones are passed over: nothing reverts.
-    pub fn put_table(&self, table: Arc<RouteTable>) {
+    pub fn apply_table(&self, table: Arc<RouteTable>) {
         let held = self.table.load();
         if held.as_ref().is_some_and(|held| held.version >= table.version) {
             return;
@@ -216,19 +216,19 @@
         self.allowances().follow(limited.map(|team| &team.name), clock::now());
         self.gate.set_head_time(table.limits.head_time);
         self.table.store(Some(table));
-        self.learned.notify_waiters();
+        self.routes_or_servers_changed.notify_waiters();
     }
 
     /// Takes the leader's word of which parts of the list of backend servers this box is to have.
-    pub fn put_index(&self, index: ListIndex) {
+    pub fn apply_index(&self, index: ListIndex) {
         self.servers.apply_index(index);
-        self.learned.notify_waiters();
-        self.wanted.notify_one();
+        self.routes_or_servers_changed.notify_waiters();
+        self.index_changed.notify_one();
     }
 
     /// Takes parts of the list of backend servers. One line says which servers are leaving: with a data
     /// centre dozens go at once, and a line for each of them in each box was 26,598 lines in 48 s.
-    pub fn put_parts(&self, parts: Vec<ListPart>) {
+    pub fn apply_parts(&self, parts: Vec<ListPart>) {
         let leaving = self.servers.apply_parts(parts);
         if !leaving.is_empty() {
             let names: Vec<_> = leaving.iter().map(BackendId::as_str).collect();
@@ -237,7 +237,7 @@
                 list = %self.servers.version(),
             );
         }
-        self.learned.notify_waiters();
+        self.routes_or_servers_changed.notify_waiters();
     }
 
     /// Whether the box has had its first routes and backend servers; right after a start it has not.
@@ -248,38 +248,38 @@
     /// Whether the box was told of newer routes than those in force.
     pub(crate) fn is_behind(&self) -> bool {
         let held = self.table.load().as_ref().map_or(Version(0), |table| table.version);
-        held < self.parts.board.newest()
+        held < self.context.board.newest()
     }
 
     /// How sure the box is of its routes and keys.
     pub(crate) fn certainty(&self) -> Certainty {
-        let settings = &self.parts.settings;
+        let settings = &self.context.settings;
         let aims = Aims {
             change: settings.apply_time.duration(),
             revoke: settings.revoke_time.duration(),
         };
-        Certainty { aims, age: self.parts.board.age(), behind: self.is_behind() }
+        Certainty { aims, age: self.context.board.age(), behind: self.is_behind() }
     }
 
     /// Waits until the box is initialized, at most `limit`.
-    pub(crate) async fn wait_initialized(&self, limit: Duration) {
-        self.wait_learned(limit, || self.is_initialized()).await;
+    pub(crate) async fn wait_until_initialized(&self, limit: Duration) {
+        self.wait_until(limit, || self.is_initialized()).await;
     }
 
     /// Waits until the newest routes that the box was told of are in force, at most `limit`.
-    pub(crate) async fn wait_newest(&self, limit: Duration) {
-        self.wait_learned(limit, || !self.is_behind()).await;
+    pub(crate) async fn wait_until_current(&self, limit: Duration) {
+        self.wait_until(limit, || !self.is_behind()).await;
     }
 
     /// Waits until something holds that comes with new routes or backend servers, at most `limit`.
-    async fn wait_learned(&self, limit: Duration, holds: impl Fn() -> bool) {
+    async fn wait_until(&self, limit: Duration, holds: impl Fn() -> bool) {
         // No timer for the calls of a box that has long been initialized.
         if holds() {
             return;
         }
         let waiting = async {
             loop {
-                let mut learned = pin!(self.learned.notified());
+                let mut learned = pin!(self.routes_or_servers_changed.notified());
                 learned.as_mut().enable();
                 if holds() {
                     return;
@@ -311,7 +311,7 @@
     }
 
     /// Whether a server can tell its life: engines do, plain services do not.
-    pub(crate) fn tells_lives(&self, known: &Known) -> bool {
+    pub(crate) fn reports_incarnation(&self, known: &Known) -> bool {
         self.engine_spec(&known.server.service).is_some()
     }
 
@@ -339,7 +339,7 @@
             tracing::warn!(
                 event = "release_stopped", service = %server.service, release = %server.release, route,
             );
-            self.hurry.notify_one();
+            self.heartbeat_requested.notify_one();
         }
     }
 
@@ -374,32 +374,32 @@
     }
 
     /// How many relays share the limits.
-    pub fn relays(&self) -> u32 {
-        self.relays_told().unwrap_or(RELAYS_GUESSED)
+    pub fn relay_count(&self) -> u32 {
+        self.known_relay_count().unwrap_or(RELAYS_GUESSED)
     }
 
     /// How many relays share the limits by the leader's last word.
-    pub fn relays_told(&self) -> Option<u32> {
-        Some(self.relays.load(Ordering::Relaxed)).filter(|relays| *relays > 0)
+    pub fn known_relay_count(&self) -> Option<u32> {
+        Some(self.relay_count.load(Ordering::Relaxed)).filter(|relays| *relays > 0)
     }
 
     /// Takes the leader's word of how many relays there are.
-    pub fn set_relays(&self, relays: u32) {
-        self.relays.store(relays.max(1), Ordering::Relaxed);
+    pub fn set_relay_count(&self, relays: u32) {
+        self.relay_count.store(relays.max(1), Ordering::Relaxed);
     }
 
     /// The time between two beats.
-    pub(crate) fn interval(&self) -> Duration {
+    pub(crate) fn heartbeat_interval(&self) -> Duration {
         self.allowances().interval()
     }
 
     /// Takes the leader's word of the time between two beats.
-    pub(crate) fn set_interval(&self, interval: Duration) {
+    pub(crate) fn set_heartbeat_interval(&self, interval: Duration) {
         self.allowances().set_interval(interval.clamp(HEARTBEAT_TIME, LONGEST_TIME));
     }
 
     /// Whether the node is about to stop and takes nothing new.
     pub fn is_closing(&self) -> bool {
-        *self.parts.closing.borrow()
+        *self.context.closing.borrow()
     }
 }
--- a/src/relay/moving.rs
+++ b/src/relay/moving.rs
@@ -160,7 +160,7 @@
         let origin = Origin { resume: progress.last, fetch: None, copy: Some(&copy) };
         match open(relay, call, route, place, origin).await {
             Ok(Opening::Stream(opened)) => {
-                relay.parts.metrics.count_resume("moved");
+                relay.context.metrics.count_resume("moved");
                 tracing::info!(
                     event = "stream_moved", id = call.head.id, backend_server = %place.server.id,
                     last = progress.last,
@@ -196,7 +196,7 @@
     source: &Known,
     target: SocketAddr,
 ) -> Option<(StatusCode, String)> {
-    let (path, headers, body) = relay.parts.dialect.write_move(call, &source.server.id, target);
+    let (path, headers, body) = relay.context.dialect.write_move(call, &source.server.id, target);
     let mut request = Request::builder()
         .method(Method::POST)
         .uri(path)
@@ -207,14 +207,14 @@
     request.headers_mut().extend(headers);
     let answered = async {
         let addr = source.server.addr;
-        let exchange = relay.parts.pool.send(addr, request, MOVE_TIME, Reuse::Any).await?;
+        let exchange = relay.context.pool.send(addr, request, MOVE_TIME, Reuse::Any).await?;
         let status = exchange.status;
         let body = exchange.read_whole(ANSWER_LIMIT, MOVE_TIME).await?;
         Ok::<_, SendFault>((status, body))
     };
     match answered.await {
         Ok((status, body)) => {
-            let MoveAnswer { life, handle } = relay.parts.dialect.read_move(&body);
+            let MoveAnswer { life, handle } = relay.context.dialect.read_move(&body);
             // Another server may have its address by now: one that is not meant says so.
             if status != StatusCode::MISDIRECTED_REQUEST {
                 relay.servers.apply_incarnation(source, life);
--- a/src/relay/pick.rs
+++ b/src/relay/pick.rs
@@ -162,7 +162,7 @@
     /// The server of those compared that is expected to begin the call first.
     fn choose(&self, compared: Compared, usual: Option<f64>) -> Option<Picked> {
         let (candidates, random) = (&compared.candidates, rand::random::<f64>);
-        let place = match usual.filter(|_| self.relay.parts.topology.is_split()) {
+        let place = match usual.filter(|_| self.relay.context.topology.is_split()) {
             Some(usual) => choose_over_regions(&self.model, candidates, usual, random),
             None => choose(&self.model, candidates, random),
         }?;
@@ -235,7 +235,7 @@
     fn distances(&self, open: &[PlacedServer]) -> Vec<Distance> {
         let output = self.call.head.size.map_or(0, |size| size.output);
         let kilobytes = kilobytes(self.call.body.len(), output);
-        let weights = &self.relay.parts.settings.weights;
+        let weights = &self.relay.context.settings.weights;
         let learned = self.relay.distances();
         let now = Instant::now();
         let distance = |it: &PlacedServer| Distance {
@@ -292,7 +292,7 @@
             return false;
         };
         let copying = Copying { rate: spec.copy_rate, token_bytes: spec.token_bytes };
-        let weights = &self.relay.parts.settings.weights;
+        let weights = &self.relay.context.settings.weights;
         fetch_saves(&self.model, part.tokens, &copying, time, weights)
     }
 }
--- a/src/relay/quarantine.rs
+++ b/src/relay/quarantine.rs
@@ -35,7 +35,7 @@
     let request = call.fingerprint();
     if relay.quarantine().record_success(request, Instant::now()) {
         tracing::info!(event = "request_cleared", id = call.head.id, %request);
-        relay.hurry.notify_one();
+        relay.heartbeat_requested.notify_one();
     }
 }
 
@@ -44,7 +44,7 @@
     let (changes, is_news) = relay.quarantine().record_end(told, Instant::now());
     say(&changes);
     if is_news {
-        relay.hurry.notify_one();
+        relay.heartbeat_requested.notify_one();
     }
 }
 
@@ -58,7 +58,7 @@
     let (changes, is_urgent) = relay.quarantine().answered(told, word, lacks, Instant::now());
     say(&changes);
     if is_urgent {
-        relay.hurry.notify_one();
+        relay.heartbeat_requested.notify_one();
     }
 }
 
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -68,7 +68,7 @@
     let (parts, body) = request.into_parts();
     let mut body = Some(body);
     let busy = parts.extensions.get::<Arc<Busy>>().cloned();
-    let read = relay.parts.dialect.read_call(&parts);
+    let read = relay.context.dialect.read_call(&parts);
     let id = read.as_ref().map(|head| head.id.clone()).unwrap_or_default();
     let waits_for_word = parts.headers.contains_key(EXPECT);
     let request = Request::from_parts(parts, ());
@@ -115,13 +115,13 @@
         event = "request_failed", id, kind = %failure.kind, run = %failure.kind.answer().run,
         detail = failure.detail, wait_ms = failure.retry_after.map(|wait| wait.as_millis() as u64),
         ms = arrived.elapsed().as_millis() as u64, version = relay.table().map(|it| it.version.0),
-        age_ms = relay.parts.board.age().map(|age| age.as_millis() as u64),
-        newest = relay.parts.board.newest().0, list = %relay.servers.version(),
+        age_ms = relay.context.board.age().map(|age| age.as_millis() as u64),
+        newest = relay.context.board.newest().0, list = %relay.servers.version(),
     );
-    relay.parts.metrics.count_request("-", failure.kind.answer().code);
+    relay.context.metrics.count_request("-", failure.kind.answer().code);
     let mut response = answer::failed(failure);
     let id = Some(id).filter(|id| !id.is_empty());
-    relay.parts.dialect.mark_own(response.headers_mut(), id, failure.retry_after);
+    relay.context.dialect.mark_own(response.headers_mut(), id, failure.retry_after);
     if relay.is_closing() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -135,12 +135,12 @@
     head: CallHead,
     arrived: Instant,
 ) -> Result<Response<Body>, Failure> {
-    let guard = relay.parts.board.begin_request();
-    relay.wait_initialized(patience(&head)).await;
+    let guard = relay.context.board.begin_request();
+    relay.wait_until_initialized(patience(&head)).await;
     let mut table = relay.table().ok_or_else(|| unsure("no routes are known yet"))?;
     if relay.is_behind() && is_denied(&table, &request, &head) {
         // The route or key may be what has changed.
-        relay.wait_newest(patience(&head)).await;
+        relay.wait_until_current(patience(&head)).await;
         table = relay.table().unwrap_or(table);
     }
     head::check(&request, table.limits.head)?;
@@ -179,8 +179,8 @@
         Ok(response) => {
             let name = team.map_or("-", |team| team.name.as_str());
             log_answer(relay, &table, &route, name, &response, &id, arrived);
-            relay.parts.metrics.count_request(name, "answered");
-            relay.parts.metrics.record_first_token(name, seconds_since(arrived));
+            relay.context.metrics.count_request(name, "answered");
+            relay.context.metrics.record_first_token(name, seconds_since(arrived));
             Ok(response)
         }
         Err(failure) => {
@@ -216,7 +216,7 @@
     tracing::info!(
         event = "request_answered", id, route = route.name, team,
         status = response.status().as_u16(), late, ms = arrived.elapsed().as_millis() as u64,
-        version = table.version.0, age_ms = relay.parts.board.age().map(|age| age.as_millis() as u64),
+        version = table.version.0, age_ms = relay.context.board.age().map(|age| age.as_millis() as u64),
         list = %relay.servers.version(),
     );
 }
@@ -354,9 +354,9 @@
         tokio::time::sleep_until(until.min(tokio::time::Instant::now() + pause)).await;
     }
     loop {
-        let mut heard = pin!(relay.heard.notified());
+        let mut heard = pin!(relay.leader_replied.notified());
         heard.as_mut().enable();
-        relay.demanded.notify_one();
+        relay.demand_requested.notify_one();
         if tokio::time::timeout_at(until, heard).await.is_err() {
             return false;
         }
@@ -369,7 +369,7 @@
 /// Records how long a request waited for its team's allowance, and says so where callers feel it.
 fn record_wait(relay: &Relay, id: &str, team: &Team, began: tokio::time::Instant) {
     let waited = began.elapsed();
-    relay.parts.metrics.record_allowance_wait(waited);
+    relay.context.metrics.record_allowance_wait(waited);
     if waited >= LONG_WAIT {
         let (team, waited) = (&team.name, waited.as_millis() as u64);
         tracing::info!(event = "allowance_waited", id, %team, waited_ms = waited);
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -425,7 +425,7 @@
                 tracing::warn!(
                     event = "stream_cut", id = call.head.id, last = progress.last, detail = %fault,
                 );
-                relay.parts.metrics.count_attempt("-", "stream_cut");
+                relay.context.metrics.count_attempt("-", "stream_cut");
                 yield Err(io::Error::other(fault.to_string()));
                 break;
             };
@@ -527,7 +527,7 @@
     loop {
         match open(relay, call, route, &known, origin(progress.last, attempts)).await {
             Ok(Opening::Stream(opened)) => {
-                relay.parts.metrics.count_resume("elsewhere");
+                relay.context.metrics.count_resume("elsewhere");
                 tracing::info!(
                     event = "stream_taken_up", id = call.head.id,
                     backend_server = %known.server.id, last = progress.last,
--- a/src/relay/taking.rs
+++ b/src/relay/taking.rs
@@ -299,7 +299,7 @@
 
     fn note(&self, slow: Slow, taking: &Taking) {
         let team = self.call.team.as_ref().map_or("-", |team| team.as_str());
-        self.relay.parts.metrics.count_request(team, "caller_slow");
+        self.relay.context.metrics.count_request(team, "caller_slow");
         tracing::info!(
             event = "caller_slow",
             id = self.call.head.id,
--- a/tests/behind.rs
+++ b/tests/behind.rs
@@ -32,7 +32,7 @@
     let server = StandIn::start("i-1", &[Act::Answer]).await;
     let relay = TestRelay::empty().await;
     let table = emberturn::platform::document::read(&document(1, &usual_routes()).to_string());
-    relay.relay.put_table(std::sync::Arc::new(table.unwrap()));
+    relay.relay.apply_table(std::sync::Arc::new(table.unwrap()));
     relay.list(&[&server]);
     relay.allow(1e9);
     relay.board.record_fresh(clock::now() - Duration::from_millis(3_600));
@@ -141,7 +141,7 @@
     open["public"] = true.into();
     let relay = TestRelay::empty().await;
     let table = emberturn::platform::document::read(&document(1, &[open]).to_string());
-    relay.relay.put_table(std::sync::Arc::new(table.unwrap()));
+    relay.relay.apply_table(std::sync::Arc::new(table.unwrap()));
     relay.list(&[&server]);
     relay.allow(1e9);
     relay.board.record_fresh(clock::now() - Duration::from_millis(2_600));
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -295,7 +295,7 @@
     // A box that was never sure answers that it does not know, and runs nothing with a key.
     let unsure = TestRelay::empty().await;
     let table = emberturn::platform::document::read(&document(1, &usual_routes()).to_string());
-    unsure.relay.put_table(std::sync::Arc::new(table.unwrap()));
+    unsure.relay.apply_table(std::sync::Arc::new(table.unwrap()));
     unsure.list(&[&server]);
     assert_eq!(unsure.ask("POST", "elsewhere").await.status, 503);
     assert_eq!(unsure.ask("POST", "once").await.status, 503);
--- a/tests/support/platform.rs
+++ b/tests/support/platform.rs
@@ -15,7 +15,7 @@
 use emberturn::relay::list::{IncarnationReport, ListIndex, Server};
 use emberturn::relay::list_registry::ListRegistry;
 use emberturn::relay::listen::Listeners;
-use emberturn::relay::{Relay, RelayParts, ends, lives};
+use emberturn::relay::{Relay, RelayContext, ends, lives};
 use emberturn::settings::Settings;
 use emberturn::telemetry::Metrics;
 use serde_json::{Value, json};
@@ -129,7 +129,7 @@
         let settings = Settings::parse("relay.ini", &text).unwrap();
         let board = Arc::new(Blackboard::new("relay".parse().unwrap()));
         let (closing, follow) = watch::channel(false);
-        let relay = Arc::new(Relay::new(RelayParts {
+        let relay = Arc::new(Relay::new(RelayContext {
             topology: settings.topology(),
             settings: settings.relay.unwrap(),
             board: board.clone(),
@@ -159,7 +159,7 @@
 
     /// Whether metrics tell of an outcome of requests.
     pub fn has_counted(&self, outcome: &str) -> bool {
-        let text = self.relay.parts.metrics.render().unwrap();
+        let text = self.relay.context.metrics.render().unwrap();
         String::from_utf8(text).unwrap().contains(&format!("outcome=\"{outcome}\""))
     }
 
@@ -172,7 +172,7 @@
     /// Puts a document in force, confirmed now.
     pub fn put(&self, value: &Value) {
         let table = document::read(&value.to_string()).unwrap();
-        self.relay.put_table(Arc::new(table));
+        self.relay.apply_table(Arc::new(table));
         self.board.record_fresh(clock::now());
     }
 
@@ -206,8 +206,8 @@
         let mut leader = self.leader.lock().unwrap();
         leader.apply_listing(Term(1), servers, Instant::now());
         let index = leader.index(&box_id);
-        self.relay.put_index(ListIndex::clone(&index));
-        self.relay.put_parts(leader.list_parts(&self.relay.servers.lacking(), Instant::now()));
+        self.relay.apply_index(ListIndex::clone(&index));
+        self.relay.apply_parts(leader.list_parts(&self.relay.servers.lacking(), Instant::now()));
         assert!(self.relay.servers.lacking().is_empty());
     }
 
