--- a/bench/src/decisions.rs
+++ b/bench/src/decisions.rs
@@ -13,9 +13,9 @@
 };
 use emberturn::decide::distance::{ByteWeights, Distance, Distances, kilobytes};
 use emberturn::decide::engine::EngineModel;
-use emberturn::decide::level::{Limit, Noted, TeamReport, TokenBucket};
 use emberturn::decide::policy::{Facts, Policies};
 use emberturn::decide::route::{Candidate, Need, choose};
+use emberturn::decide::token_bucket::{RateLimit, ReserveNote, TeamReport, TokenBucket};
 use emberturn::decide::topology::Reach;
 use emberturn::ids::{BoxId, DataCentre, Incarnation};
 use emberturn::state::config::Class;
@@ -90,7 +90,7 @@
 
 /// A box's word at the leader: callers of two of the teams come to each box.
 fn word(boxes: usize) -> f64 {
-    let limit = Limit { rate: 150_000.0, burst: 300_000.0 };
+    let limit = RateLimit { rate: 150_000.0, burst: 300_000.0 };
     let mut levels: Vec<_> = (0..TEAMS).map(|_| TokenBucket::new(0.0)).collect();
     let ids: Vec<BoxId> = (0..boxes)
         .map(|place| format!("10.1.{}.{}", place / 250, place % 250))
@@ -100,11 +100,18 @@
     mean(|| {
         let place = turn as usize % boxes;
         let total = 5_000.0 * (turn / boxes as u64) as f64;
-        let demand = TeamDemand { total, usual: 12_000.0, ..TeamDemand::default() };
-        let word = TeamReport { life: Incarnation(1), turn: turn + 1, demand };
+        let demand = TeamDemand { total, demand_rate: 12_000.0, ..TeamDemand::default() };
+        let word = TeamReport { incarnation: Incarnation(1), seq: turn + 1, demand };
         for team in [place % TEAMS, (place * 7 + 3) % TEAMS] {
             let level = &mut levels[team];
-            black_box(level.handle_report(now, limit, Noted::Low, 0, &ids[place], black_box(word)));
+            black_box(level.handle_report(
+                now,
+                limit,
+                ReserveNote::Low,
+                0,
+                &ids[place],
+                black_box(word),
+            ));
         }
         turn += 1;
         now += BEAT / boxes as f64;
--- a/bench/src/fleet.rs
+++ b/bench/src/fleet.rs
@@ -1,7 +1,7 @@
 //! A model of the teams' limits over a whole fleet, in virtual time: one leader with a bounded processor and
 //! a queue, hundreds to thousands of boxes, and requests of many teams, each box and team drawn by chance.
 //!
-//! Boxes and leader run the product's own code ([`Allowances`], [`TokenBucket`], [`pace`]). It models
+//! Boxes and leader run the product's own code ([`Allowances`], [`TokenBucket`], [`intervals`]). It models
 //! decisions: no sockets, no consensus. What a message costs the leader is an assumption, [`Costs`].
 
 use std::cmp::Reverse;
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use emberturn::decide::allowance::{Allowances, DemandReport, Grant};
-use emberturn::decide::level::{Limit, Noted, TeamReport, TokenBucket};
-use emberturn::decide::pace;
+use emberturn::decide::intervals;
+use emberturn::decide::token_bucket::{RateLimit, ReserveNote, TeamReport, TokenBucket};
 use emberturn::ids::{BoxId, Incarnation, TeamName};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -138,7 +138,7 @@
     order: u64,
     events: BinaryHeap<Reverse<Event>>,
     names: Vec<TeamName>,
-    limit: Limit,
+    limit: RateLimit,
     boxes: Vec<Entry>,
     messages: Vec<Message>,
     queue: VecDeque<usize>,
@@ -182,10 +182,10 @@
         let rate = f64::from(fleet.boxes) * fleet.rate * mean / f64::from(fleet.teams);
         // As with the least limit that operators give: one long request fits any burst.
         let rate = (fleet.ample * rate).max(36_000.0);
-        let limit = Limit { rate, burst: 3.0 * rate };
+        let limit = RateLimit { rate, burst: 3.0 * rate };
         let new = |place: u32| {
             let mut allowances = Allowances::new();
-            allowances.follow(names.iter(), base);
+            allowances.set_limited_teams(names.iter(), base);
             let id = format!("box-{place}").parse().expect("a name");
             Entry { id, allowances, waiting: Vec::new(), failed: 0 }
         };
@@ -285,7 +285,7 @@
         }
         match entry.allowances.claim(team, waiting.cost, now) {
             Ok(()) => self.end(&waiting, false),
-            Err(short) if short.ask && patient => {
+            Err(short) if short.ask_leader && patient => {
                 entry.waiting.push(waiting);
                 self.demand(place);
             }
@@ -313,7 +313,7 @@
 
     fn demand(&mut self, place: usize) {
         let now = self.instant();
-        if let Some(report) = self.boxes[place].allowances.demand(now) {
+        if let Some(report) = self.boxes[place].allowances.next_demand(now) {
             let message = self.send(place, report, false);
             self.after(LOST_TIME, place, What::GiveUp { message });
         }
@@ -325,14 +325,14 @@
         if !self.leads {
             let failed = self.boxes[place].failed;
             self.boxes[place].failed += 1;
-            let pause = pace::retry_time(boxes, failed).as_secs_f64();
+            let pause = intervals::retry_delay(boxes, failed).as_secs_f64();
             return self.after(pause, place, What::Heartbeat);
         }
         self.boxes[place].failed = 0;
-        let interval = pace::heartbeat_time(boxes);
+        let interval = intervals::heartbeat_interval(boxes);
         let entry = &mut self.boxes[place];
-        entry.allowances.set_interval(interval);
-        let report = entry.allowances.report(now);
+        entry.allowances.set_heartbeat_interval(interval);
+        let report = entry.allowances.heartbeat_report(now);
         self.send(place, report, true);
         let jitter = self.rng.random_range(0.85..1.15);
         self.after(interval.as_secs_f64() * jitter, place, What::Heartbeat);
@@ -380,13 +380,13 @@
 
     fn grant(&mut self, message: usize) -> BTreeMap<TeamName, Grant> {
         let Message { place, report, .. } = &self.messages[message];
-        let (id, now, turn) = (&self.boxes[*place].id, self.now, report.turn);
+        let (id, now, turn) = (&self.boxes[*place].id, self.now, report.seq);
         let mut grants = BTreeMap::new();
         for (name, demand) in &report.teams {
             let new = || TokenBucket::new(self.returned);
             let bucket = self.buckets.entry(name.clone()).or_insert_with(new);
-            let told = TeamReport { life: Incarnation(1), turn, demand: *demand };
-            let grant = bucket.handle_report(now, self.limit, Noted::Reserve, 0, id, told);
+            let told = TeamReport { incarnation: Incarnation(1), seq: turn, demand: *demand };
+            let grant = bucket.handle_report(now, self.limit, ReserveNote::Intact, 0, id, told);
             grants.extend(grant.map(|grant| (name.clone(), grant)));
         }
         grants
@@ -408,7 +408,7 @@
         if !held.closed {
             held.closed = true;
             let place = held.place;
-            self.boxes[place].allowances.close(&held.report);
+            self.boxes[place].allowances.clear_pending(&held.report);
             self.wake(place);
         }
     }
@@ -422,7 +422,7 @@
 
     fn look(&mut self) {
         for bucket in self.buckets.values_mut().filter(|_| self.leads) {
-            bucket.look(self.now, self.limit, Noted::Reserve, 0);
+            bucket.tick(self.now, self.limit, ReserveNote::Intact, 0);
         }
         // Those whose patience has ended are refused, whatever they wait for.
         for place in 0..self.boxes.len() {
--- a/src/control/demand.rs
+++ b/src/control/demand.rs
@@ -63,7 +63,7 @@
 pub(crate) async fn run(relay: Arc<Relay>, access: Access, box_id: BoxId, life: Incarnation) {
     loop {
         relay.demand_requested.notified().await;
-        let report = relay.allowances().demand(clock::now());
+        let report = relay.allowances().next_demand(clock::now());
         if let Some(report) = report {
             let (relay, access, box_id) = (relay.clone(), access.clone(), box_id.clone());
             tokio::spawn(send(relay, access, box_id, life, report));
@@ -78,7 +78,7 @@
     life: Incarnation,
     mut report: DemandReport,
 ) {
-    let (turn, teams) = (report.turn, std::mem::take(&mut report.teams));
+    let (turn, teams) = (report.seq, std::mem::take(&mut report.teams));
     let relays = relay.known_relay_count();
     let demand = DemandRequest { version: VERSION, box_id, life, turn, relays, teams };
     let answer = access.demand(&demand, ANSWER_TIME).await;
@@ -87,7 +87,7 @@
         Ok(reply) => relay.allowances().apply_grants(&report, &reply.grants, clock::now()),
         Err(error) => {
             tracing::debug!(event = "demand_unanswered", %error, turn);
-            relay.allowances().close(&report);
+            relay.allowances().clear_pending(&report);
         }
     }
     relay.leader_replied.notify_waiters();
--- a/src/control/heartbeat.rs
+++ b/src/control/heartbeat.rs
@@ -13,8 +13,8 @@
 use crate::decide::allowance::{Grant, TeamDemand};
 use crate::decide::capacity::Offered;
 use crate::decide::engine::Sample;
+use crate::decide::intervals::retry_delay;
 use crate::decide::loads::LoadSample;
-use crate::decide::pace::retry_time;
 use crate::decide::quarantine::{EndReport, QuarantineUpdate};
 use crate::decide::releases::{ReleaseUpdate, TrialReport};
 use crate::decide::telling::Telling;
@@ -138,7 +138,7 @@
         let listed = relay.servers.index_print().is_some();
         failed = if heard && listed { 0 } else { failed + 1 };
         let pause = match (failed > 0, relay.releases().is_soon()) {
-            (true, _) => retry_time(relay.relay_count(), failed - 1),
+            (true, _) => retry_delay(relay.relay_count(), failed - 1),
             (false, true) => SOON_TIME,
             (false, false) => relay.heartbeat_interval(),
         };
@@ -160,8 +160,8 @@
     life: Incarnation,
 ) -> bool {
     let asked = clock::now();
-    let mut report = relay.allowances().report(asked);
-    let turn = report.turn;
+    let mut report = relay.allowances().heartbeat_report(asked);
+    let turn = report.seq;
     let news = told.telling.news(turn, relay.usage().counts(), relay.engines().learned());
     let beat = BoxHeartbeat {
         box_id: box_id.clone(),
--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -14,18 +14,18 @@
 use super::models::ModelsBroadcast;
 use super::rollouts::Rollouts;
 use super::spend::{Spender, Weights};
-use crate::decide::allowance::{Grant, LEASE_TIME, TeamDemand};
+use crate::decide::allowance::{Grant, LEASE_DURATION, TeamDemand};
 use crate::decide::capacity::Offered;
 use crate::decide::engine::{EngineLearner, EngineModel, Sample};
-use crate::decide::level::{self, Noted, TokenBucket, Tolerance};
+use crate::decide::intervals::heartbeat_interval;
 use crate::decide::limit_leases::{LimitLeases, ReportOrigin};
 use crate::decide::lives;
 use crate::decide::loads::{self, LoadPool};
-use crate::decide::pace::heartbeat_time;
 use crate::decide::presence::{ABSENT_TIME, Presence};
 use crate::decide::quarantine::{EndReport, FleetQuarantine, QuarantineUpdate};
 use crate::decide::telling::{Heard, News};
 use crate::decide::throttle::{LimitLease, LimitReport};
+use crate::decide::token_bucket::{self, ReserveNote, TokenBucket, Tolerance};
 use crate::group::driver::Unanswered;
 use crate::ids::{
     BackendId, BoxId, Incarnation, Release, ServiceName, TeamName, Term, Version, Window,
@@ -86,7 +86,7 @@
         if self.sum > 0.0 && due {
             tracing::info!(
                 event = "team_refused", %team, units = self.sum as u64, left = level.available() as i64,
-                whole = level.whole() as i64,
+                whole = level.available_and_leased() as i64,
             );
             *self = Self { sum: 0.0, said: Some(Instant::now()) };
         }
@@ -219,7 +219,7 @@
             quarantine,
             settled: self.settled,
             relays,
-            interval: heartbeat_time(relays).into(),
+            interval: heartbeat_interval(relays).into(),
             data_centre: None,
         }
     }
@@ -246,7 +246,7 @@
         reports: &[LimitReport],
         now: Instant,
     ) -> Vec<LimitLease> {
-        let is_taking_over = !self.first && self.since.elapsed() < LEASE_TIME;
+        let is_taking_over = !self.first && self.since.elapsed() < LEASE_DURATION;
         self.limit_leases.handle_reports(origin, reports, is_taking_over, now)
     }
 
@@ -336,20 +336,20 @@
             let Some(limit) = table.teams.get(name).and_then(|team| team.limit()) else {
                 continue;
             };
-            let limit = limit.with(tolerance);
+            let limit = limit.with_tolerance(tolerance);
             let level = self.levels.entry(name.clone()).or_insert_with(|| TokenBucket::new(now));
-            let report = level::TeamReport { life, turn, demand: *demand };
+            let report = token_bucket::TeamReport { incarnation: life, seq: turn, demand: *demand };
             let missed = self.missed.entry(name.clone()).or_default();
             missed.note(name, demand.refused, level);
             let noted = match &self.low {
-                None => Noted::Unknown,
-                Some(low) if low.contains(name) => Noted::Low,
-                Some(_) => Noted::Reserve,
+                None => ReserveNote::Unknown,
+                Some(low) if low.contains(name) => ReserveNote::Low,
+                Some(_) => ReserveNote::Intact,
             };
             if let Some(grant) = level.handle_report(now, limit, noted, unheard, box_id, report) {
                 allowed.insert(name.clone(), grant);
             }
-            if level.is_lacking() {
+            if level.needs_low_note() {
                 self.lacking.insert(name.clone());
             }
         }
@@ -386,7 +386,7 @@
             let sum = sums.entry(service.clone()).or_default();
             *sum = *sum + *offered;
         }
-        let age = heartbeat_time(self.presence.relays(Instant::now())).as_secs_f64() / 2.0;
+        let age = heartbeat_interval(self.presence.relays(Instant::now())).as_secs_f64() / 2.0;
         self.spender.note(self.since.elapsed().as_secs_f64(), age, &sums);
         self.pool_engines();
     }
--- a/src/control/notes.rs
+++ b/src/control/notes.rs
@@ -7,7 +7,7 @@
 use super::duties::SETTLE_TIME;
 use super::lead::{LeaderState, follow_table, tolerance};
 use crate::decide::hazard::Learned;
-use crate::decide::level::{Noted, Tolerance};
+use crate::decide::token_bucket::{ReserveNote, Tolerance};
 use crate::ids::{ServiceName, TeamName};
 use crate::node::Node;
 use crate::relay::table::RouteTable;
@@ -123,8 +123,8 @@
         for (name, level) in self.levels.iter_mut().filter(|(name, _)| !low.contains(*name)) {
             let limit = table.teams.get(name).and_then(|team| team.limit());
             if let Some(limit) = limit {
-                level.look(now, limit.with(tolerance), Noted::Reserve, unheard);
-                if level.is_lacking() {
+                level.tick(now, limit.with_tolerance(tolerance), ReserveNote::Intact, unheard);
+                if level.needs_low_note() {
                     self.lacking.insert(name.clone());
                 }
             }
@@ -140,7 +140,7 @@
         let low = self.low.as_mut()?;
         let recovered = |name: &TeamName| {
             let limit = table.teams.get(name).and_then(|team| team.limit());
-            let limit = limit.map(|limit| limit.with(tolerance));
+            let limit = limit.map(|limit| limit.with_tolerance(tolerance));
             let level = self.levels.get(name);
             limit.zip(level).is_none_or(|(limit, level)| level.has_recovered(now, limit))
         };
--- a/src/decide/allowance.rs
+++ b/src/decide/allowance.rs
@@ -1,217 +1,230 @@
-//! What each team may use on this box.
+//! The part of each team's rate limit that this box may use.
 //!
-//! A team's limit is one over all boxes. The leader keeps its token bucket ([`super::level`]) and, with
-//! every reply to a heartbeat, leases the box an amount and a rate on top, by what the team usually uses
-//! there. Without a reply from the leader a box goes on with both until the lease ends: a change of
-//! leader is over by then, and a box without a leader for longer can be sure of no configuration either.
+//! A team's limit applies to all boxes together. The leader keeps the team's token bucket ([`super::token_bucket`])
+//! and leases each box an amount of units and a refill rate with every heartbeat reply, sized by how much the team
+//! usually sends to that box. Without a reply the box keeps using both until the lease ends. A lease outlasts a
+//! change of leader; a box that hears no leader for longer can't be sure of its configuration either.
 //!
-//! Where a fleet has many more boxes and teams than requests a second, most requests meet a box that
-//! holds nothing of their team. Such a request asks the leader for its team alone, at once and beside
-//! the heartbeats: what that costs grows with the requests, not with boxes times teams.
+//! Where a fleet has many more boxes and teams than requests a second, most requests reach a box that holds nothing
+//! for their team. The box then asks the leader for that team alone, at once and independently of the heartbeats, so
+//! that the cost grows with the number of requests and not with boxes times teams.
 //!
-//! A box holds nothing of a team that does not come to it, and does not report it.
+//! A box neither holds nor reports anything for a team that sends it no requests.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
 
-use super::pace::HEARTBEAT_TIME;
+use super::intervals::HEARTBEAT_INTERVAL;
 use crate::ids::TeamName;
 
-/// How long after the last report that was answered the leader is taken to answer, beyond the time
-/// between two heartbeats. No request waits for a leader that does not answer.
-const ANSWER_TIME: Duration = Duration::from_millis(500);
+/// How long past the heartbeat interval the leader counts as responsive after the last report that it answered.
+/// Requests don't wait for an unresponsive leader.
+const RESPONSE_GRACE: Duration = Duration::from_millis(500);
 
-/// How long a demand may be without an answer before the leader is taken to be silent.
-const SILENT_TIME: Duration = Duration::from_millis(150);
+/// How long a demand may stay unanswered before the leader counts as unresponsive.
+const DEMAND_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Demands of one box that may wait for the leader at the same time. The teams of further ones join the
-/// next demand, so a box with many teams never sends more than one demand for each answer.
-const DEMAND_LIMIT: usize = 8;
+/// The most demands of one box that may be unanswered at the same time. Further teams are put into the next demand,
+/// so a box with many teams doesn't send one message for each.
+const MAX_PENDING_DEMANDS: usize = 8;
 
-/// How long a lease holds after the word that it answers: an election after the loss of a leader, or of
-/// power everywhere, takes about half of it, and keys are no longer sure at its end.
-pub const LEASE_TIME: Duration = Duration::from_millis(5_900);
+/// How long a lease holds, counted from the report that it answers. An election after the loss of a leader, or of
+/// power everywhere, takes about half of this time, and at its end a box no longer trusts its list of API keys.
+pub const LEASE_DURATION: Duration = Duration::from_millis(5_900);
 
-/// The longest time for which a box saves up a rate that nobody uses. A new leader does not know what boxes have
-/// saved, so all of them together may save hardly more than a usual burst, a second of the rate with its tolerance.
-const SAVE_TIME: Duration = Duration::from_millis(1_700);
+/// The longest time for which a box accumulates an unused rate. A new leader doesn't know what boxes have
+/// accumulated, so all boxes together may hold little more than a usual burst: one second of the rate plus its
+/// tolerance.
+const MAX_ACCRUAL_TIME: Duration = Duration::from_millis(1_700);
 
-/// Seconds over which a team's use of a box is averaged: long enough for callers that come every few
-/// seconds, short enough to follow a wave.
-const USUAL_TIME: f64 = 4.0;
+/// The time constant, in seconds, of the averages of a team's demand at a box: long enough for callers that send a
+/// request every few seconds, short enough to follow a surge.
+const AVERAGING_SECS: f64 = 4.0;
 
-/// Requests of a team that are expected at a box while a lease holds, below which the box holds nothing
-/// ahead of them. What lies at boxes to which a team comes once in minutes is missing elsewhere.
-const LEAST_CALLS: f64 = 1.5;
+/// The number of requests expected within one lease below which a box holds nothing in advance for a team. Units held
+/// at boxes that a team reaches once in minutes are missing elsewhere.
+const MIN_EXPECTED_REQUESTS: f64 = 1.5;
 
-/// The longest and shortest wait told to a caller whose team is over its limit.
-const WAIT_LIMITS: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(4));
+/// The shortest and longest `Retry-After` for a caller whose team is over its limit.
+const RETRY_AFTER_RANGE: (Duration, Duration) =
+    (Duration::from_millis(100), Duration::from_secs(4));
 
-/// What a box tells the leader of one team.
+/// What a box reports to the leader about one team.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct TeamDemand {
-    /// Units used in the life of the box's process, so that a word that is lost or comes twice counts once.
+    /// Units used since the box's process started. A running total, so that a lost or duplicated report doesn't
+    /// change the count.
     pub total: f64,
-    /// Units refused since the last word.
+    /// Units of the requests refused since the last report.
     #[serde(with = "crate::units::thin")]
     pub refused: f64,
-    /// Units of the requests that found too little since the last word and wait for the answer; below 0 where
-    /// the team's own demand is under way.
+    /// Units of the requests that did not fit into the allowance since the last report and wait for the answer;
+    /// negative while a separate demand for the team is unanswered.
     #[serde(with = "crate::units::thin")]
     pub wanted: f64,
-    /// Units a second that callers usually bring; 0 for a team that no longer comes.
-    #[serde(with = "crate::units::thin")]
-    pub usual: f64,
-    /// Units a second that the box has on lease.
-    #[serde(with = "crate::units::thin")]
-    pub rate: f64,
-    /// Units that it has left.
-    #[serde(with = "crate::units::thin")]
-    pub left: f64,
+    /// The average demand of callers, in units a second; 0 for a team that no longer sends requests.
+    #[serde(with = "crate::units::thin", rename = "usual")]
+    pub demand_rate: f64,
+    /// The leased rate, in units a second.
+    #[serde(with = "crate::units::thin", rename = "rate")]
+    pub leased_rate: f64,
+    /// Units left of the allowance.
+    #[serde(with = "crate::units::thin", rename = "left")]
+    pub remaining: f64,
 }
 
-/// The [`TeamDemand::wanted`] of a team whose own demand is under way: what it wants is told there.
-const UNDER_WAY: f64 = -1.0;
+/// The value of [`TeamDemand::wanted`] while a separate demand for the team is unanswered.
+const DEMAND_PENDING: f64 = -1.0;
 
 impl TeamDemand {
-    /// Whether the team's own demand is under way, so that this tells only what the box holds.
-    pub fn is_under_way(&self) -> bool {
+    /// Whether a separate demand for the team is unanswered, so that this reports only what the box holds.
+    pub fn has_pending_demand(&self) -> bool {
         self.wanted < 0.0
     }
 }
 
-/// What a box reports of its teams in one message.
+/// What a box reports about its teams in one message.
 #[derive(Debug, Clone)]
 pub struct DemandReport {
-    /// Which of the reports of the process this is.
-    pub turn: u64,
-    /// When it was made: leases that answer it begin then.
-    pub sent: Instant,
-    /// The demand by team.
+    /// The report's sequence number within the life of the process.
+    pub seq: u64,
+    /// When the report was made. Leases that answer it begin at this time.
+    pub sent_at: Instant,
+    /// The demand of each team.
     pub teams: BTreeMap<TeamName, TeamDemand>,
 }
 
-/// Why a request is not within its team's allowance.
+/// Why a request does not fit into its team's allowance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Short {
-    /// How long until there likely is enough.
-    pub wait: Duration,
-    /// Whether the leader is to be asked at once: it answers, and by its last reply it had more.
-    pub ask: bool,
-    /// Whether a leader has said anything of the teams to this box yet.
+pub struct InsufficientAllowance {
+    /// The estimated time until there are enough units.
+    pub retry_after: Duration,
+    /// Whether to ask the leader at once: it responds, and its last reply did not say that the limit is reached.
+    pub ask_leader: bool,
+    /// Whether any leader has answered a report of this box yet.
     pub known: bool,
     /// Whether the leader has said that the team's limit is reached.
     pub exhausted: bool,
 }
 
-/// What the leader allows a box of one team's limit.
+/// What the leader leases a box of one team's limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Units, for [`LEASE_TIME`] or until the next answer.
+    /// Units, valid for [`LEASE_DURATION`] or until the next reply.
     #[serde(with = "crate::units::thin")]
     pub amount: f64,
-    /// Units a second on top.
+    /// Units a second in addition.
     #[serde(with = "crate::units::thin")]
     pub rate: f64,
-    /// Seconds until there is more, 0 if there is now.
+    /// Seconds until more is available; 0 if it is now.
     #[serde(with = "crate::units::thin")]
     pub wait: f64,
 }
 
+/// The allowance of one team.
 #[derive(Debug, Clone, Copy)]
 struct Allowance {
-    left: f64,
+    /// Units left; negative where more was used than granted.
+    available: f64,
+    /// The leased rate, in units a second.
     rate: f64,
     /// The amount of the last grant.
     granted: f64,
+    /// [`Grant::wait`] of the last grant.
     wait: f64,
+    /// What the next report says.
     demand: TeamDemand,
-    /// Units a second, as the mean of the last seconds.
-    usual: f64,
-    /// Requests a second, as the mean of the last seconds, and those since the last report.
-    calls: f64,
-    fresh: f64,
-    /// The total that was reported last, in which report, and when.
-    told: f64,
-    turn: u64,
-    told_at: Instant,
-    /// When the report was made whose reply allowed what is left.
-    heard: Instant,
-    /// Up to when the rate has come in.
-    filled: Instant,
-    /// Whether the leader was told that nothing is left here.
-    is_given_up: bool,
+    /// The average demand, in units a second.
+    demand_rate: f64,
+    /// The average number of requests a second.
+    request_rate: f64,
+    /// Requests since the last report.
+    new_requests: f64,
+    /// [`TeamDemand::total`] in the last report, and that report's number and time.
+    reported_total: f64,
+    reported_seq: u64,
+    reported_at: Instant,
+    /// When the report was made that the last grant answers.
+    lease_start: Instant,
+    /// The time up to which the rate has been added.
+    refilled_at: Instant,
+    /// Whether the last report said that nothing is held here.
+    is_released: bool,
 }
 
 impl Allowance {
     fn new(now: Instant) -> Self {
         Self {
-            left: 0.0,
+            available: 0.0,
             rate: 0.0,
             granted: 0.0,
             wait: 0.0,
             demand: TeamDemand::default(),
-            usual: 0.0,
-            calls: 0.0,
-            fresh: 0.0,
-            told: 0.0,
-            turn: 0,
-            told_at: now,
-            heard: now,
-            filled: now,
-            is_given_up: true,
+            demand_rate: 0.0,
+            request_rate: 0.0,
+            new_requests: 0.0,
+            reported_total: 0.0,
+            reported_seq: 0,
+            reported_at: now,
+            lease_start: now,
+            refilled_at: now,
+            is_released: true,
         }
     }
 
-    /// Lets the rate come in and the lease end.
-    fn pass(&mut self, now: Instant) {
-        let end = self.heard + LEASE_TIME;
-        let passed = now.min(end).saturating_duration_since(self.filled);
-        let most = self.granted + self.rate * SAVE_TIME.as_secs_f64();
-        let came = self.rate * passed.as_secs_f64();
-        self.left = self.left.max((self.left + came).min(most));
+    /// Adds what the rate has brought up to `now`, and ends an expired lease.
+    fn refill(&mut self, now: Instant) {
+        let end = self.lease_start + LEASE_DURATION;
+        let elapsed = now.min(end).saturating_duration_since(self.refilled_at);
+        let capacity = self.granted + self.rate * MAX_ACCRUAL_TIME.as_secs_f64();
+        let accrued = self.rate * elapsed.as_secs_f64();
+        self.available = self.available.max((self.available + accrued).min(capacity));
         if now > end {
-            self.left = self.left.min(0.0);
+            self.available = self.available.min(0.0);
             self.rate = 0.0;
         }
-        self.filled = now;
+        self.refilled_at = now;
     }
 
-    /// What is to be reported in report `turn`, averaged up to `now`.
-    fn report(&mut self, turn: u64, now: Instant) -> TeamDemand {
-        self.pass(now);
-        self.turn = turn;
-        let came = self.demand.total - self.told + self.demand.refused;
-        let passed = now.saturating_duration_since(self.told_at).as_secs_f64();
-        let passed = passed.clamp(0.01, USUAL_TIME);
-        let weight = 1.0 - (-passed / USUAL_TIME).exp();
-        self.usual += weight * (came.max(0.0) / passed - self.usual);
-        self.calls += weight * (self.fresh / passed - self.calls);
-        self.fresh = 0.0;
-        let is_frequent = self.calls * LEASE_TIME.as_secs_f64() >= LEAST_CALLS;
-        self.demand.usual = if is_frequent { self.usual } else { 0.0 };
-        (self.demand.rate, self.demand.left) = (self.rate, self.left);
-        (self.told, self.told_at) = (self.demand.total, now);
-        let told = self.demand;
-        self.is_given_up = told.usual == 0.0 && told.wanted == 0.0 && self.left <= 0.0;
-        self.is_given_up &= self.rate == 0.0;
+    /// Updates the averages and returns the team's part of report `seq`.
+    fn report(&mut self, seq: u64, now: Instant) -> TeamDemand {
+        self.refill(now);
+        self.reported_seq = seq;
+        let demanded = self.demand.total - self.reported_total + self.demand.refused;
+        let elapsed = now.saturating_duration_since(self.reported_at).as_secs_f64();
+        let elapsed = elapsed.clamp(0.01, AVERAGING_SECS);
+        let weight = 1.0 - (-elapsed / AVERAGING_SECS).exp();
+        self.demand_rate += weight * (demanded.max(0.0) / elapsed - self.demand_rate);
+        self.request_rate += weight * (self.new_requests / elapsed - self.request_rate);
+        self.new_requests = 0.0;
+        let expected_requests = self.request_rate * LEASE_DURATION.as_secs_f64();
+        let is_frequent = expected_requests >= MIN_EXPECTED_REQUESTS;
+        self.demand.demand_rate = if is_frequent { self.demand_rate } else { 0.0 };
+        (self.demand.leased_rate, self.demand.remaining) = (self.rate, self.available);
+        (self.reported_total, self.reported_at) = (self.demand.total, now);
+        let reported = self.demand;
+        self.is_released =
+            reported.demand_rate == 0.0 && reported.wanted == 0.0 && self.available <= 0.0;
+        self.is_released &= self.rate == 0.0;
         (self.demand.refused, self.demand.wanted) = (0.0, 0.0);
-        told
+        reported
     }
 
-    /// What the box holds of the team, beside a demand that is under way.
-    fn held(&mut self, now: Instant) -> TeamDemand {
-        self.pass(now);
-        let (rate, left) = (self.rate, self.left);
-        TeamDemand { refused: 0.0, wanted: UNDER_WAY, rate, left, ..self.demand }
+    /// What the box holds for the team while a demand for it is unanswered.
+    fn holdings(&mut self, now: Instant) -> TeamDemand {
+        self.refill(now);
+        let (leased_rate, remaining) = (self.rate, self.available);
+        TeamDemand { refused: 0.0, wanted: DEMAND_PENDING, leased_rate, remaining, ..self.demand }
     }
 
-    /// Whether there is nothing to report of the team.
-    fn is_silent(&self) -> bool {
-        let told = &self.demand;
-        self.is_given_up && told.total == self.told && told.refused + told.wanted == 0.0
+    /// Whether there is nothing to report about the team.
+    fn is_idle(&self) -> bool {
+        let demand = &self.demand;
+        self.is_released
+            && demand.total == self.reported_total
+            && demand.refused + demand.wanted == 0.0
     }
 }
 
@@ -225,163 +238,178 @@
 #[derive(Debug)]
 pub struct Allowances {
     teams: BTreeMap<TeamName, Allowance>,
-    /// The reports made.
-    turn: u64,
-    /// The demands that wait for an answer, by turn.
-    waiting: BTreeMap<u64, Instant>,
-    /// When the report was made that was answered last; `None` before any was.
-    heard: Option<Instant>,
-    /// The time between two heartbeats.
-    interval: Duration,
+    /// The number of the last report.
+    last_seq: u64,
+    /// The unanswered demands by report number, each with the time of sending.
+    pending: BTreeMap<u64, Instant>,
+    /// When the latest answered report was made; `None` before the first answer.
+    last_answered: Option<Instant>,
+    heartbeat_interval: Duration,
 }
 
 impl Allowances {
-    /// Those of a box that knows no teams yet.
+    /// The allowances of a box that knows no teams yet.
     pub fn new() -> Self {
         Self {
             teams: BTreeMap::new(),
-            turn: 0,
-            waiting: BTreeMap::new(),
-            heard: None,
-            interval: HEARTBEAT_TIME,
+            last_seq: 0,
+            pending: BTreeMap::new(),
+            last_answered: None,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
         }
     }
 
     /// The time between two heartbeats.
-    pub fn interval(&self) -> Duration {
-        self.interval
+    pub fn heartbeat_interval(&self) -> Duration {
+        self.heartbeat_interval
     }
 
-    /// Takes the time between two heartbeats.
-    pub fn set_interval(&mut self, interval: Duration) {
-        self.interval = interval;
+    /// Sets the time between two heartbeats.
+    pub fn set_heartbeat_interval(&mut self, interval: Duration) {
+        self.heartbeat_interval = interval;
     }
 
-    /// Keeps the teams that have a limit; new ones begin with nothing.
-    pub fn follow<'a>(&mut self, limited: impl Iterator<Item = &'a TeamName>, now: Instant) {
-        let mut kept = std::mem::take(&mut self.teams);
+    /// Sets which teams have a limit. Teams that had one keep their allowance; new ones begin with nothing.
+    pub fn set_limited_teams<'a>(
+        &mut self,
+        limited: impl Iterator<Item = &'a TeamName>,
+        now: Instant,
+    ) {
+        let mut previous = std::mem::take(&mut self.teams);
         for name in limited {
-            let allowance = kept.remove(name).unwrap_or_else(|| Allowance::new(now));
+            let allowance = previous.remove(name).unwrap_or_else(|| Allowance::new(now));
             self.teams.insert(name.clone(), allowance);
         }
     }
 
-    /// Claims `cost` of a team's allowance, if so much of it is left. A team without a limit has none.
+    /// Takes `cost` units from a team's allowance. Succeeds for any team without a limit.
     ///
     /// # Errors
-    /// That too little is left.
-    pub fn claim(&mut self, team: &TeamName, cost: f64, now: Instant) -> Result<(), Short> {
-        let answers = self.is_answered(now);
-        let known = self.heard.is_some();
+    /// Too little is left.
+    pub fn claim(
+        &mut self,
+        team: &TeamName,
+        cost: f64,
+        now: Instant,
+    ) -> Result<(), InsufficientAllowance> {
+        let is_responsive = self.is_leader_responsive(now);
+        let known = self.last_answered.is_some();
         let Some(allowance) = self.teams.get_mut(team) else {
             return Ok(());
         };
-        allowance.pass(now);
-        if allowance.left >= cost {
-            allowance.left -= cost;
+        allowance.refill(now);
+        if allowance.available >= cost {
+            allowance.available -= cost;
             allowance.demand.total += cost;
-            allowance.fresh += 1.0;
+            allowance.new_requests += 1.0;
             return Ok(());
         }
         allowance.demand.wanted += cost;
-        let missing = cost - allowance.left;
-        let wait = match answers {
+        let missing = cost - allowance.available;
+        let wait = match is_responsive {
             true => allowance.wait,
             false => missing / allowance.rate.max(f64::MIN_POSITIVE),
         };
         let wait = Duration::from_secs_f64(wait.clamp(0.0, 60.0));
-        let wait = wait.clamp(WAIT_LIMITS.0, WAIT_LIMITS.1);
+        let retry_after = wait.clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1);
         let exhausted = allowance.wait > 0.0;
-        Err(Short { wait, ask: answers && !exhausted, known, exhausted })
+        let ask_leader = is_responsive && !exhausted;
+        Err(InsufficientAllowance { retry_after, ask_leader, known, exhausted })
     }
 
-    /// Whether a leader is taken to answer.
-    fn is_answered(&self, now: Instant) -> bool {
-        let silent = self.waiting.values().any(|sent| now >= *sent + SILENT_TIME);
-        !silent && self.heard.is_none_or(|heard| now < heard + self.interval + ANSWER_TIME)
+    /// Whether the leader is expected to answer: no demand has timed out, and it answered a recent report or there
+    /// was none to answer yet.
+    fn is_leader_responsive(&self, now: Instant) -> bool {
+        let is_timed_out = self.pending.values().any(|sent| now >= *sent + DEMAND_TIMEOUT);
+        let grace = self.heartbeat_interval + RESPONSE_GRACE;
+        !is_timed_out && self.last_answered.is_none_or(|answered| now < answered + grace)
     }
 
-    /// Records that a request was refused for want of `cost`.
+    /// Records that a request of `cost` units was refused.
     pub fn record_refusal(&mut self, team: &TeamName, cost: f64) {
         if let Some(allowance) = self.teams.get_mut(team) {
             allowance.demand.refused += cost;
-            allowance.fresh += 1.0;
+            allowance.new_requests += 1.0;
         }
     }
 
-    /// Refunds an amount: the request was not run.
+    /// Returns the units of a request that was not run.
     pub fn refund(&mut self, team: &TeamName, cost: f64) {
         if let Some(allowance) = self.teams.get_mut(team) {
-            allowance.left += cost;
+            allowance.available += cost;
             allowance.demand.total -= cost;
         }
     }
 
-    /// Whether a demand for this team alone waits for its answer.
+    /// Whether a demand that includes this team is unanswered.
     pub fn is_pending(&self, team: &TeamName) -> bool {
-        self.teams.get(team).is_some_and(|it| self.waiting.contains_key(&it.turn))
+        self.teams.get(team).is_some_and(|it| self.pending.contains_key(&it.reported_seq))
     }
 
-    /// The demand to report with a heartbeat: of the teams that come to this box. Of a team whose own demand
-    /// waits for its answer only what is held: a later report would overtake the demand and withdraw what it asks for,
-    /// and without any a new leader would take the box to hold nothing.
-    pub fn report(&mut self, now: Instant) -> DemandReport {
-        let mut report = self.report_of(now, |allowance| !allowance.is_silent());
-        let waiting = &self.waiting;
-        let waiting = self.teams.iter_mut().filter(|(_, it)| waiting.contains_key(&it.turn));
-        report.teams.extend(waiting.map(|(name, it)| (name.clone(), it.held(now))));
+    /// The report to send with a heartbeat, with every team that sends requests to this box. Of a team with an
+    /// unanswered demand it says only what the box holds: a full report would overtake the demand and withdraw what
+    /// it asks for, and without any a new leader would assume that the box holds nothing.
+    pub fn heartbeat_report(&mut self, now: Instant) -> DemandReport {
+        let mut report = self.report_teams(now, |allowance| !allowance.is_idle());
+        let pending = &self.pending;
+        let pending =
+            self.teams.iter_mut().filter(|(_, it)| pending.contains_key(&it.reported_seq));
+        report.teams.extend(pending.map(|(name, it)| (name.clone(), it.holdings(now))));
         report
     }
 
-    /// The demand of the teams that requests wait for and that are not asked for yet; `None` where there
-    /// is none, or enough demands wait for an answer.
-    pub fn demand(&mut self, now: Instant) -> Option<DemandReport> {
+    /// The demand for all teams that requests wait for and that no unanswered demand includes; `None` if there are
+    /// none, or if [`MAX_PENDING_DEMANDS`] demands are unanswered.
+    pub fn next_demand(&mut self, now: Instant) -> Option<DemandReport> {
         let is_wanted = |it: &Allowance| it.demand.wanted > 0.0;
-        let mut asked = self.teams.values().filter(|it| !self.waiting.contains_key(&it.turn));
-        if self.waiting.len() >= DEMAND_LIMIT || !asked.any(is_wanted) {
+        let mut free =
+            self.teams.values().filter(|it| !self.pending.contains_key(&it.reported_seq));
+        if self.pending.len() >= MAX_PENDING_DEMANDS || !free.any(is_wanted) {
             return None;
         }
-        let report = self.report_of(now, is_wanted);
-        self.waiting.insert(report.turn, now);
+        let report = self.report_teams(now, is_wanted);
+        self.pending.insert(report.seq, now);
         Some(report)
     }
 
-    /// A report of some teams; those whose own demand waits are in none.
-    fn report_of(&mut self, now: Instant, is_told: impl Fn(&Allowance) -> bool) -> DemandReport {
-        self.turn += 1;
-        let turn = self.turn;
-        let waiting = &self.waiting;
-        let told = self.teams.iter_mut();
-        let told = told.filter(|(_, it)| !waiting.contains_key(&it.turn) && is_told(it));
-        let teams = told.map(|(name, allowance)| (name.clone(), allowance.report(turn, now)));
-        DemandReport { turn, sent: now, teams: teams.collect() }
+    /// Reports the teams that pass `filter`, without those that have an unanswered demand.
+    fn report_teams(&mut self, now: Instant, filter: impl Fn(&Allowance) -> bool) -> DemandReport {
+        self.last_seq += 1;
+        let seq = self.last_seq;
+        let pending = &self.pending;
+        let reported = self.teams.iter_mut();
+        let reported =
+            reported.filter(|(_, it)| !pending.contains_key(&it.reported_seq) && filter(it));
+        let teams = reported.map(|(name, allowance)| (name.clone(), allowance.report(seq, now)));
+        DemandReport { seq, sent_at: now, teams: teams.collect() }
     }
 
-    /// Takes the leader's reply to a report. What was used since the report counts against it. A team that
-    /// was reported again since is passed over: the later report's reply takes the place of this one.
+    /// Applies the leader's reply to a report. What was used after the report is deducted from the grant. A team
+    /// that a later report includes is skipped, because the reply to that report replaces this one.
     pub fn apply_grants(
         &mut self,
         report: &DemandReport,
         grants: &BTreeMap<TeamName, Grant>,
         now: Instant,
     ) {
-        self.close(report);
-        self.heard = self.heard.max(Some(report.sent));
+        self.clear_pending(report);
+        self.last_answered = self.last_answered.max(Some(report.sent_at));
         for (name, grant) in grants {
-            let allowance = self.teams.get_mut(name).filter(|it| it.turn <= report.turn);
+            let allowance = self.teams.get_mut(name).filter(|it| it.reported_seq <= report.seq);
             let Some(allowance) = allowance else {
                 continue;
             };
-            allowance.left = grant.amount - (allowance.demand.total - allowance.told);
+            let used_since = allowance.demand.total - allowance.reported_total;
+            allowance.available = grant.amount - used_since;
             (allowance.rate, allowance.granted) = (grant.rate, grant.amount);
             allowance.wait = grant.wait;
-            allowance.heard = report.sent;
-            allowance.filled = now;
+            allowance.lease_start = report.sent_at;
+            allowance.refilled_at = now;
         }
     }
 
-    /// Takes that a report had no reply.
-    pub fn close(&mut self, report: &DemandReport) {
-        self.waiting.remove(&report.turn);
+    /// Stops waiting for the answer to a demand, because it came or because it no longer will.
+    pub fn clear_pending(&mut self, report: &DemandReport) {
+        self.pending.remove(&report.seq);
     }
 }
--- a/src/decide/limit_leases.rs
+++ b/src/decide/limit_leases.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use super::allowance::LEASE_TIME;
+use super::allowance::LEASE_DURATION;
 use super::throttle::{LimitLease, LimitReport, may_be_same};
 use crate::ids::{BackendId, BoxId, Incarnation, ServerKey};
 use crate::units::RequestRate;
@@ -158,7 +158,7 @@
         let charged = share.max(claimed(server, box_id, report));
         match charged > 0.0 {
             true => {
-                let holder = Holder { share: charged, until: now + LEASE_TIME };
+                let holder = Holder { share: charged, until: now + LEASE_DURATION };
                 server.holders.insert(box_id.clone(), holder);
             }
             false => drop(server.holders.remove(box_id)),
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -7,7 +7,7 @@
 //! - [`pause`]: which servers a box leaves alone because they asked for it.
 //! - [`policy`]: operators' short programs that say where work goes and what may wait.
 //! - [`admit`]: whether a request may run now, within its team's limits.
-//! - [`allowance`], [`level`]: what a team may use on one box, and over all boxes.
+//! - [`allowance`], [`token_bucket`]: a team's rate limit, on one box and over all boxes.
 //! - [`engine`], [`capacity`]: what engines can do, learned, and how many a load is worth.
 //! - [`certainty`]: what a box may say by the routes and keys that it holds.
 //! - [`choose`]: which engine a relay sends to; [`faults`]: which ones it passes over for a route.
@@ -28,7 +28,7 @@
 //! - [`share`]: which part of a fleet-wide limit each node may use.
 //! - [`orders`]: what orders for engines stand for until the list shows it.
 //! - [`spend`]: how many engines a service is to have, where, of which kind.
-//! - [`pace`]: how often boxes report to the leader.
+//! - [`intervals`]: how often boxes report to the leader and look for a lost one.
 //! - [`nearest`]: which replica a box follows the configuration at.
 //! - [`telling`]: what of a box's word is news to the leader.
 //! - [`throttle`], [`limit_leases`]: the limits that backend servers name, at a box and over all boxes.
@@ -48,14 +48,13 @@
 pub mod faults;
 pub mod filling;
 pub mod hazard;
-pub mod level;
+pub mod intervals;
 pub mod limit_leases;
 pub mod lives;
 pub mod loads;
 pub mod memory;
 pub mod nearest;
 pub mod orders;
-pub mod pace;
 pub mod pause;
 pub mod policy;
 pub mod presence;
@@ -73,5 +72,6 @@
 pub mod subset;
 pub mod telling;
 pub mod throttle;
+pub mod token_bucket;
 pub mod topology;
 pub mod verdict;
--- a/src/decide/throttle.rs
+++ b/src/decide/throttle.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::allowance::LEASE_TIME;
+use super::allowance::LEASE_DURATION;
 use crate::ids::{BackendId, Incarnation, ServerKey, ServiceName};
 use crate::units::{Millis, RequestRate};
 
@@ -363,7 +363,7 @@
             held.life = held.life.max(lease.server.life);
             match held.limit.is_none() && lease.limit.is_none() {
                 true => drop(self.servers.remove(&lease.server.id)),
-                false => held.renew(lease.share, sent + LEASE_TIME, now),
+                false => held.renew(lease.share, sent + LEASE_DURATION, now),
             }
         }
     }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -70,9 +70,9 @@
 use crate::decide::budget::RetryBudgets;
 use crate::decide::certainty::{Aims, Certainty};
 use crate::decide::distance::Distances;
+use crate::decide::intervals::{HEARTBEAT_INTERVAL, MAX_HEARTBEAT_INTERVAL};
 use crate::decide::loads::LoadPool;
 use crate::decide::memory::Memory;
-use crate::decide::pace::{HEARTBEAT_TIME, LONGEST_TIME};
 use crate::decide::pause::Pauses;
 use crate::decide::presence::RELAYS_GUESSED;
 use crate::decide::quarantine::BoxQuarantine;
@@ -213,7 +213,7 @@
             teams = table.teams.len(),
         );
         let limited = table.teams.values().filter(|team| team.rate.is_some());
-        self.allowances().follow(limited.map(|team| &team.name), clock::now());
+        self.allowances().set_limited_teams(limited.map(|team| &team.name), clock::now());
         self.gate.set_head_time(table.limits.head_time);
         self.table.store(Some(table));
         self.routes_or_servers_changed.notify_waiters();
@@ -390,12 +390,13 @@
 
     /// The time between two beats.
     pub(crate) fn heartbeat_interval(&self) -> Duration {
-        self.allowances().interval()
+        self.allowances().heartbeat_interval()
     }
 
     /// Takes the leader's word of the time between two beats.
     pub(crate) fn set_heartbeat_interval(&self, interval: Duration) {
-        self.allowances().set_interval(interval.clamp(HEARTBEAT_TIME, LONGEST_TIME));
+        self.allowances()
+            .set_heartbeat_interval(interval.clamp(HEARTBEAT_INTERVAL, MAX_HEARTBEAT_INTERVAL));
     }
 
     /// Whether the node is about to stop and takes nothing new.
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -323,7 +323,7 @@
             }
             Err(short) => short,
         };
-        if !short.ask || !wait_demand(relay, &team.name, began + ASK_TIME, pause).await {
+        if !short.ask_leader || !wait_demand(relay, &team.name, began + ASK_TIME, pause).await {
             break short;
         }
         pause = (pause * 2).max(RETRY_PAUSE);
@@ -339,7 +339,7 @@
         return Err(unsure("what the team may use is not known, as no leader answers in time"));
     }
     let text = format!("team {} is over its limit: {cost} asked for", team.name);
-    Err(Failure::new(Kind::RateLimit, text).after(Some(short.wait)))
+    Err(Failure::new(Kind::RateLimit, text).after(Some(short.retry_after)))
 }
 
 /// Has the leader asked for a team after `pause`, and waits for its answer; `false` if there is none by
--- a/src/relay/table.rs
+++ b/src/relay/table.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::decide::level::Limit;
+use crate::decide::token_bucket::RateLimit;
 use crate::ids::{DataCentre, ServiceName, TeamName, Version};
 use crate::units::Tokens;
 
@@ -142,8 +142,8 @@
 
 impl Team {
     /// The team's limit; `None` where it has none.
-    pub fn limit(&self) -> Option<Limit> {
-        self.rate.map(|rate| Limit { rate, burst: self.burst })
+    pub fn limit(&self) -> Option<RateLimit> {
+        self.rate.map(|rate| RateLimit { rate, burst: self.burst })
     }
 
     /// What one request counts against the team's limit.
--- a/tests/control_bytes.rs
+++ b/tests/control_bytes.rs
@@ -7,8 +7,8 @@
 use emberturn::decide::allowance::{Grant, TeamDemand};
 use emberturn::decide::capacity::Offered;
 use emberturn::decide::engine::EngineModel;
+use emberturn::decide::intervals::HEARTBEAT_INTERVAL;
 use emberturn::decide::loads::LoadSample;
-use emberturn::decide::pace::HEARTBEAT_TIME;
 use emberturn::decide::quarantine::{EndReport, QuarantineUpdate, ToldHeld};
 use emberturn::decide::releases::ReleaseUpdate;
 use emberturn::decide::throttle::{LimitLease, LimitNotice, LimitReport, Throttles};
@@ -126,9 +126,9 @@
         total: drawn(seed),
         refused: 0.0,
         wanted: 0.0,
-        usual: drawn(seed + 50),
-        rate: drawn(seed + 51),
-        left: drawn(seed + 52),
+        demand_rate: drawn(seed + 50),
+        leased_rate: drawn(seed + 51),
+        remaining: drawn(seed + 52),
     };
     let windows =
         (0..3).map(|window| (Window(353_000_000 + window), by_team(fleet, |team| team + 9)));
@@ -383,6 +383,6 @@
         ThrottleRequest { version: 1, box_id, life: LIFE, turn: 9, clock: Some(clock), limits };
     let reply = ThrottleReply { version: 1, clock, leases };
     let bytes = call(&request) + json(&reply);
-    let a_second = bytes as f64 / HEARTBEAT_TIME.as_secs_f64();
+    let a_second = bytes as f64 / HEARTBEAT_INTERVAL.as_secs_f64();
     assert!(a_second < LIMIT as f64 / 2.0, "{bytes} bytes a call, {a_second:.0} a second");
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
-use emberturn::decide::allowance::{Allowances, DemandReport, Grant, LEASE_TIME, TeamDemand};
+use emberturn::decide::allowance::{Allowances, DemandReport, Grant, LEASE_DURATION, TeamDemand};
 use emberturn::decide::budget::{RetryBudgets, RetryLimit};
-use emberturn::decide::level::{Limit, Noted, TeamReport, TokenBucket, Tolerance};
 use emberturn::decide::presence::Presence;
+use emberturn::decide::token_bucket::{RateLimit, ReserveNote, TeamReport, TokenBucket, Tolerance};
 use emberturn::ids::{BoxId, Incarnation, ServiceName, TeamName, Window};
 use emberturn::peer::method::{DemandReply, DemandRequest};
 use emberturn::relay::usage::{UsageCounter, window_at};
@@ -15,12 +15,12 @@
 use emberturn::state::usage::Settle;
 use emberturn::state::{Command, Machine, Reply};
 
-const LIMIT: Limit = Limit { rate: 1_000.0, burst: 1_000.0 };
+const LIMIT: RateLimit = RateLimit { rate: 1_000.0, burst: 1_000.0 };
 
 /// A box's word, the first of its life.
 fn word(total: f64, wanted: f64) -> TeamReport {
-    let demand = TeamDemand { total, wanted, usual: 100.0, ..TeamDemand::default() };
-    TeamReport { life: Incarnation(1), turn: 1, demand }
+    let demand = TeamDemand { total, wanted, demand_rate: 100.0, ..TeamDemand::default() };
+    TeamReport { incarnation: Incarnation(1), seq: 1, demand }
 }
 
 #[test]
@@ -34,10 +34,16 @@
             // Less than the rate, so that something is left.
             let total = if busy { 300.0 * f64::from(round) } else { 0.0 };
             let turn = u64::from(round) + 1;
-            let mut word = TeamReport { turn, ..word(total, 0.0) };
-            word.demand.usual = if busy { 750.0 } else { 10.0 };
-            let allowed =
-                level.handle_report(f64::from(round) * 0.4, LIMIT, Noted::Low, 0, box_id, word);
+            let mut word = TeamReport { seq: turn, ..word(total, 0.0) };
+            word.demand.demand_rate = if busy { 750.0 } else { 10.0 };
+            let allowed = level.handle_report(
+                f64::from(round) * 0.4,
+                LIMIT,
+                ReserveNote::Low,
+                0,
+                box_id,
+                word,
+            );
             amounts.insert(box_id.clone(), allowed.unwrap().amount);
         }
     }
@@ -49,12 +55,12 @@
 fn team_beyond_its_limit_hears_when_to_come_back() {
     let box_id: BoxId = "box-0".parse().unwrap();
     let mut level = TokenBucket::new(0.0);
-    level.handle_report(0.0, LIMIT, Noted::Low, 0, &box_id, word(0.0, 0.0)).unwrap();
-    let wanting = TeamReport { turn: 2, ..word(0.0, 800.0) };
-    let allowed = level.handle_report(1.0, LIMIT, Noted::Low, 0, &box_id, wanting).unwrap();
+    level.handle_report(0.0, LIMIT, ReserveNote::Low, 0, &box_id, word(0.0, 0.0)).unwrap();
+    let wanting = TeamReport { seq: 2, ..word(0.0, 800.0) };
+    let allowed = level.handle_report(1.0, LIMIT, ReserveNote::Low, 0, &box_id, wanting).unwrap();
     assert!(allowed.amount >= 800.0 && allowed.wait == 0.0, "{allowed:?}");
-    let spent = TeamReport { turn: 3, ..word(allowed.amount + 2_000.0, 500.0) };
-    let allowed = level.handle_report(1.0, LIMIT, Noted::Low, 0, &box_id, spent).unwrap();
+    let spent = TeamReport { seq: 3, ..word(allowed.amount + 2_000.0, 500.0) };
+    let allowed = level.handle_report(1.0, LIMIT, ReserveNote::Low, 0, &box_id, spent).unwrap();
     assert_eq!(allowed.amount, 0.0);
     assert!((1.4..2.6).contains(&allowed.wait), "{allowed:?}");
 }
@@ -67,20 +73,20 @@
         .handle_report(
             0.0,
             LIMIT,
-            Noted::Low,
+            ReserveNote::Low,
             0,
             &box_id,
-            TeamReport { turn: 4, ..word(100.0, 0.0) },
+            TeamReport { seq: 4, ..word(100.0, 0.0) },
         )
         .unwrap();
     assert_eq!(
         level.handle_report(
             1.0,
             LIMIT,
-            Noted::Low,
+            ReserveNote::Low,
             0,
             &box_id,
-            TeamReport { turn: 4, ..word(100.0, 0.0) }
+            TeamReport { seq: 4, ..word(100.0, 0.0) }
         ),
         None
     );
@@ -88,10 +94,10 @@
         level.handle_report(
             1.0,
             LIMIT,
-            Noted::Low,
+            ReserveNote::Low,
             0,
             &box_id,
-            TeamReport { turn: 3, ..word(0.0, 0.0) }
+            TeamReport { seq: 3, ..word(0.0, 0.0) }
         ),
         None
     );
@@ -100,7 +106,7 @@
 #[test]
 fn tolerance_is_used_but_never_passed() {
     let tolerance = Tolerance { window: 8.0, overshoot: 0.1, slack: 500.0 };
-    let limit = LIMIT.with(tolerance);
+    let limit = LIMIT.with_tolerance(tolerance);
     let most = limit.rate * 8.0 + limit.burst;
     let bound = (LIMIT.rate * 8.0 + LIMIT.burst) * 1.1 + 500.0;
     assert!(most > LIMIT.rate * 8.0 + LIMIT.burst);
@@ -214,12 +220,13 @@
     let team: TeamName = "team-a".parse().unwrap();
     let now = Instant::now();
     let mut allowances = Allowances::new();
-    allowances.follow([&team].into_iter(), now);
+    allowances.set_limited_teams([&team].into_iter(), now);
     let mut word = |amount, wait| {
-        let report = allowances.report(now);
+        let report = allowances.heartbeat_report(now);
         let allowed = BTreeMap::from([(team.clone(), Grant { amount, rate: 0.0, wait })]);
         allowances.apply_grants(&report, &allowed, now);
-        [100.0, 100.0].map(|cost| allowances.claim(&team, cost, now).map_err(|short| short.ask))
+        [100.0, 100.0]
+            .map(|cost| allowances.claim(&team, cost, now).map_err(|short| short.ask_leader))
     };
     assert_eq!(word(150.0, 0.0), [Ok(()), Err(true)]);
     assert_eq!(word(500.0, 0.0), [Ok(()), Ok(())]);
@@ -232,8 +239,8 @@
     let team: TeamName = "team-a".parse().unwrap();
     let start = Instant::now();
     let mut allowances = Allowances::new();
-    allowances.follow([&team].into_iter(), start);
-    let report = allowances.report(start);
+    allowances.set_limited_teams([&team].into_iter(), start);
+    let report = allowances.heartbeat_report(start);
     let allowed = Grant { amount: 5_000.0, rate: 100.0, wait: 0.0 };
     allowances.apply_grants(&report, &BTreeMap::from([(team.clone(), allowed)]), start);
     let mut used = 0.0;
@@ -246,7 +253,7 @@
             }
         };
         // Nobody waits for a leader that does not answer.
-        assert!(!short.ask);
+        assert!(!short.ask_leader);
     }
     // The amount, and the rate until the lease has ended.
     assert!((5_560.0..=5_590.0).contains(&used), "{used}");
@@ -258,7 +265,7 @@
     let (team, box_id): (TeamName, BoxId) = ("team-a".parse().unwrap(), "box-0".parse().unwrap());
     let start = Instant::now();
     let mut allowances = Allowances::new();
-    allowances.follow([&team].into_iter(), start);
+    allowances.set_limited_teams([&team].into_iter(), start);
     let mut level = TokenBucket::new(0.0);
     let (mut spoken, mut used) = (0, 0.0);
     for round in 0..100_u32 {
@@ -271,15 +278,16 @@
         {
             used += 100.0;
         }
-        let told = allowances.report(now);
+        let told = allowances.heartbeat_report(now);
         spoken = if told.teams.is_empty() { spoken } else { round };
         let word = told.teams.get(&team).map(|demand| TeamReport {
-            life: Incarnation(1),
-            turn: told.turn,
+            incarnation: Incarnation(1),
+            seq: told.seq,
             demand: *demand,
         });
-        let allowed =
-            word.map(|it| level.handle_report(seconds, LIMIT, Noted::Low, 0, &box_id, it).unwrap());
+        let allowed = word.map(|it| {
+            level.handle_report(seconds, LIMIT, ReserveNote::Low, 0, &box_id, it).unwrap()
+        });
         let allowed = allowed.map(|it| (team.clone(), it)).into_iter().collect();
         allowances.apply_grants(&told, &allowed, now);
     }
@@ -287,9 +295,9 @@
     // All but what was used has come back.
     let word = word(0.0, 900.0);
     let other: BoxId = "box-1".parse().unwrap();
-    let allowed = level.handle_report(40.0, LIMIT, Noted::Low, 0, &other, word).unwrap();
+    let allowed = level.handle_report(40.0, LIMIT, ReserveNote::Low, 0, &other, word).unwrap();
     assert!(allowed.amount >= 900.0, "{allowed:?}");
-    assert_eq!(level.whole().round(), LIMIT.burst);
+    assert_eq!(level.available_and_leased().round(), LIMIT.burst);
     spoken
 }
 
@@ -311,13 +319,13 @@
     let box_id: BoxId = "box-0".parse().unwrap();
     let mut level = TokenBucket::new(0.0);
     let mut allowed = |noted, turn, total, wanted| {
-        let word = TeamReport { turn, ..word(total, wanted) };
+        let word = TeamReport { seq: turn, ..word(total, wanted) };
         let allowed = level.handle_report(0.0, LIMIT, noted, 0, &box_id, word).unwrap();
-        (allowed.amount, level.is_lacking())
+        (allowed.amount, level.needs_low_note())
     };
     // A former leader's reserve, and nothing on top of it yet.
-    assert_eq!(allowed(Noted::Reserve, 1, 0.0, 900.0), (0.0, true));
-    let (amount, lacking) = allowed(Noted::Low, 2, 0.0, 300.0);
+    assert_eq!(allowed(ReserveNote::Intact, 1, 0.0, 900.0), (0.0, true));
+    let (amount, lacking) = allowed(ReserveNote::Low, 2, 0.0, 300.0);
     assert!(amount >= 300.0 && !lacking, "{amount}");
 }
 
@@ -325,12 +333,12 @@
 fn new_leader_begins_with_nothing_for_a_team_that_was_low() {
     let box_id: BoxId = "box-0".parse().unwrap();
     let mut level = TokenBucket::new(0.0);
-    for (turn, noted) in [(1, Noted::Unknown), (2, Noted::Low), (3, Noted::Low)] {
-        let word = TeamReport { turn, ..word(0.0, 100.0) };
+    for (turn, noted) in [(1, ReserveNote::Unknown), (2, ReserveNote::Low), (3, ReserveNote::Low)] {
+        let word = TeamReport { seq: turn, ..word(0.0, 100.0) };
         let allowed = level.handle_report(0.0, LIMIT, noted, 0, &box_id, word).unwrap();
         assert_eq!(allowed.amount, 0.0);
         // While the group's note is on its way nobody is told that the team is over its limit.
-        assert_eq!(allowed.wait == 0.0, noted == Noted::Unknown);
+        assert_eq!(allowed.wait == 0.0, noted == ReserveNote::Unknown);
     }
 }
 
@@ -350,9 +358,9 @@
     let mut level = TokenBucket::new(0.0);
     let mut rate = 0.0;
     for (turn, at) in [(1, 0.0), (2, 0.5), (3, 1.0)] {
-        let mut word = TeamReport { turn, ..word(0.0, 0.0) };
-        word.demand.usual = 2_000.0;
-        rate = level.handle_report(at, LIMIT, Noted::Low, 0, &box_id, word).unwrap().rate;
+        let mut word = TeamReport { seq: turn, ..word(0.0, 0.0) };
+        word.demand.demand_rate = 2_000.0;
+        rate = level.handle_report(at, LIMIT, ReserveNote::Low, 0, &box_id, word).unwrap().rate;
     }
     assert!(rate >= 0.8 * LIMIT.rate, "{rate}");
     (level, rate)
@@ -363,11 +371,15 @@
     // The box may use all of its lease at its end; what comes in meanwhile stands against that.
     let (mut level, rate) = level_with_a_lease();
     let other: BoxId = "box-1".parse().unwrap();
-    let word = TeamReport { turn: 1, ..word(0.0, 0.0) };
-    level.handle_report(7.5, LIMIT, Noted::Low, 0, &other, word).unwrap();
+    let word = TeamReport { seq: 1, ..word(0.0, 0.0) };
+    level.handle_report(7.5, LIMIT, ReserveNote::Low, 0, &other, word).unwrap();
     let held = 5.9 * rate;
     let most = LIMIT.burst - held + 0.7 * LIMIT.rate;
-    assert!(level.whole() <= most, "{} left, {most} at most", level.whole());
+    assert!(
+        level.available_and_leased() <= most,
+        "{} left, {most} at most",
+        level.available_and_leased()
+    );
 }
 
 #[test]
@@ -376,9 +388,9 @@
     let mut lacking = Vec::new();
     for step in 0..40 {
         let now = 1.0 + 0.1 * f64::from(step);
-        level.look(now, LIMIT, Noted::Reserve, 0);
-        lacking.push(level.is_lacking());
-        assert!(level.available() >= 0.4 * LIMIT.burst || level.is_lacking(), "{now}");
+        level.tick(now, LIMIT, ReserveNote::Intact, 0);
+        lacking.push(level.needs_low_note());
+        assert!(level.available() >= 0.4 * LIMIT.burst || level.needs_low_note(), "{now}");
     }
     assert!(lacking.contains(&true));
     assert!(!level.has_recovered(5.0, LIMIT));
@@ -388,7 +400,7 @@
 fn allowances() -> (Allowances, TeamName, Instant) {
     let (team, now): (TeamName, _) = ("team-a".parse().unwrap(), Instant::now());
     let mut allowances = Allowances::new();
-    allowances.follow([&team].into_iter(), now);
+    allowances.set_limited_teams([&team].into_iter(), now);
     (allowances, team, now)
 }
 
@@ -399,36 +411,36 @@
 #[test]
 fn waiting_team_is_asked_for_at_once_and_heartbeats_tell_only_what_it_holds_until_the_reply() {
     let (mut allowances, team, now) = allowances();
-    assert!(allowances.demand(now).is_none());
+    assert!(allowances.next_demand(now).is_none());
     allowances.claim(&team, 100.0, now).unwrap_err();
-    let demand = allowances.demand(now).unwrap();
+    let demand = allowances.next_demand(now).unwrap();
     assert_eq!(demand.teams[&team].wanted, 100.0);
     // One demand of a team is under way; a heartbeat would withdraw what it asks for.
-    assert!(allowances.is_pending(&team) && allowances.demand(now).is_none());
-    let held = allowances.report(now);
-    assert!(held.teams[&team].is_under_way());
+    assert!(allowances.is_pending(&team) && allowances.next_demand(now).is_none());
+    let held = allowances.heartbeat_report(now);
+    assert!(held.teams[&team].has_pending_demand());
     // A leader that hears it first answers nothing, and still the demand behind it.
     let (mut level, box_id) = (TokenBucket::new(0.0), "box-1".parse().unwrap());
     let mut answer = |report: &DemandReport| {
-        let (life, turn, demand) = (Incarnation(1), report.turn, report.teams[&team]);
-        let report = TeamReport { life, turn, demand };
-        level.handle_report(1.0, LIMIT, Noted::Reserve, 0, &box_id, report)
+        let (life, turn, demand) = (Incarnation(1), report.seq, report.teams[&team]);
+        let report = TeamReport { incarnation: life, seq: turn, demand };
+        level.handle_report(1.0, LIMIT, ReserveNote::Intact, 0, &box_id, report)
     };
     assert_eq!(answer(&held), None);
     assert!(answer(&demand).unwrap().amount >= 100.0);
     allowances.apply_grants(&demand, &grant(&team, 100.0), now);
     assert!(!allowances.is_pending(&team));
     allowances.claim(&team, 100.0, now).unwrap();
-    assert!(allowances.report(now).teams.contains_key(&team));
+    assert!(allowances.heartbeat_report(now).teams.contains_key(&team));
 }
 
 #[test]
 fn reply_to_a_report_that_a_later_one_has_overtaken_grants_nothing() {
     let (mut allowances, team, now) = allowances();
     allowances.claim(&team, 100.0, now).unwrap_err();
-    let heartbeat = allowances.report(now);
+    let heartbeat = allowances.heartbeat_report(now);
     allowances.claim(&team, 100.0, now).unwrap_err();
-    let demand = allowances.demand(now).unwrap();
+    let demand = allowances.next_demand(now).unwrap();
     allowances.apply_grants(&heartbeat, &grant(&team, 900.0), now);
     allowances.claim(&team, 100.0, now).unwrap_err();
     allowances.apply_grants(&demand, &grant(&team, 150.0), now);
@@ -441,13 +453,13 @@
 fn demand_without_a_reply_is_no_reason_to_wait_and_is_made_again() {
     let (mut allowances, team, now) = allowances();
     allowances.claim(&team, 100.0, now).unwrap_err();
-    let lost = allowances.demand(now).unwrap();
+    let lost = allowances.next_demand(now).unwrap();
     let later = now + Duration::from_millis(200);
-    assert!(!allowances.claim(&team, 100.0, later).unwrap_err().ask);
-    allowances.close(&lost);
-    assert!(allowances.claim(&team, 100.0, later).unwrap_err().ask);
-    let again = allowances.demand(later).unwrap();
-    assert!(again.turn > lost.turn);
+    assert!(!allowances.claim(&team, 100.0, later).unwrap_err().ask_leader);
+    allowances.clear_pending(&lost);
+    assert!(allowances.claim(&team, 100.0, later).unwrap_err().ask_leader);
+    let again = allowances.next_demand(later).unwrap();
+    assert!(again.seq > lost.seq);
     allowances.apply_grants(&again, &grant(&team, 300.0), later);
     allowances.claim(&team, 300.0, later).unwrap();
 }
@@ -457,11 +469,11 @@
     let (mut allowances, team, now) = allowances();
     let short = allowances.claim(&team, 100.0, now).unwrap_err();
     assert!(!short.exhausted && !short.known);
-    let report = allowances.report(now);
+    let report = allowances.heartbeat_report(now);
     let none = BTreeMap::from([(team.clone(), Grant { amount: 0.0, rate: 0.0, wait: 1.5 })]);
     allowances.apply_grants(&report, &none, now);
     let short = allowances.claim(&team, 100.0, now).unwrap_err();
-    assert!(short.exhausted && short.known && !short.ask);
+    assert!(short.exhausted && short.known && !short.ask_leader);
 }
 
 #[test]
@@ -510,8 +522,8 @@
     leader.record(&"box-1".parse().unwrap(), later);
     leader.sweep(later);
     assert_eq!(leader.next_note(later), None);
-    assert_eq!(leader.next_note(later + LEASE_TIME), None);
-    assert_eq!(leader.next_note(later + LEASE_TIME * 2), Some(1));
+    assert_eq!(leader.next_note(later + LEASE_DURATION), None);
+    assert_eq!(leader.next_note(later + LEASE_DURATION * 2), Some(1));
 }
 
 #[test]
--- a/tests/support/platform.rs
+++ b/tests/support/platform.rs
@@ -189,7 +189,7 @@
     fn grant(&self, amount: f64, wait: f64) {
         let table = self.relay.table().unwrap();
         let mut allowances = self.relay.allowances();
-        let report = allowances.report(clock::now());
+        let report = allowances.heartbeat_report(clock::now());
         let allowed = Grant { amount, rate: 0.0, wait };
         let allowed = table.teams.keys().map(|team| (team.clone(), allowed)).collect();
         allowances.apply_grants(&report, &allowed, clock::now());
--- a/tests/team_limit.rs
+++ b/tests/team_limit.rs
@@ -5,8 +5,8 @@
 use std::time::{Duration, Instant};
 
 use emberturn::decide::allowance::{Allowances, DemandReport, Grant};
-use emberturn::decide::level::{Limit, Noted, TeamReport, TokenBucket, Tolerance};
 use emberturn::decide::presence::Presence;
+use emberturn::decide::token_bucket::{RateLimit, ReserveNote, TeamReport, TokenBucket, Tolerance};
 use emberturn::ids::{BoxId, Incarnation, TeamName};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
@@ -27,7 +27,7 @@
     boxes: usize,
     /// How many of them callers come to.
     busy: usize,
-    limit: Limit,
+    limit: RateLimit,
     slack: f64,
     /// What callers ask for, as a multiple of the limit's rate.
     demand: f64,
@@ -74,7 +74,7 @@
     /// The leader's, from the first word that it hears.
     level: Option<TokenBucket>,
     /// What the group has noted, and from when on a note to come counts.
-    noted: Noted,
+    noted: ReserveNote,
     notes: Option<f64>,
     /// When the leader looked at the level last.
     looked: f64,
@@ -111,7 +111,7 @@
             base,
             boxes: boxes.collect(),
             level: None,
-            noted: Noted::Reserve,
+            noted: ReserveNote::Intact,
             notes: None,
             looked: 0.0,
             leads_from: 0.0,
@@ -125,7 +125,7 @@
         world.presence.restore(0);
         let team = world.team.clone();
         for entry in &mut world.boxes {
-            entry.allowances.follow([&team].into_iter(), base);
+            entry.allowances.set_limited_teams([&team].into_iter(), base);
         }
         world
     }
@@ -155,7 +155,7 @@
         }
         self.look(now);
         if self.notes.is_some_and(|at| at <= now) {
-            (self.noted, self.notes) = (Noted::Low, None);
+            (self.noted, self.notes) = (ReserveNote::Low, None);
         }
         let at = self.instant(now);
         for entry in &mut self.boxes {
@@ -165,7 +165,7 @@
             if self.rng.random_bool(self.day.restart * STEP) {
                 entry.life += 1;
                 entry.allowances = Allowances::new();
-                entry.allowances.follow([&self.team].into_iter(), at);
+                entry.allowances.set_limited_teams([&self.team].into_iter(), at);
                 entry.answer = None;
                 entry.demands.clear();
                 entry.relays = 0;
@@ -182,12 +182,12 @@
             return;
         };
         self.looked = now;
-        level.look(now, limit, self.noted, unheard);
-        if level.is_lacking() && self.notes.is_none() {
+        level.tick(now, limit, self.noted, unheard);
+        if level.needs_low_note() && self.notes.is_none() {
             self.notes = Some(now + 0.04);
         }
         if level.has_recovered(now, limit) {
-            self.noted = Noted::Reserve;
+            self.noted = ReserveNote::Intact;
         }
     }
 
@@ -255,7 +255,7 @@
         }
         match entry.allowances.claim(&self.team, size, at) {
             Ok(()) => self.uses.push((now, size)),
-            Err(short) if short.ask && now < until => entry.waiting.push((size, until)),
+            Err(short) if short.ask_leader && now < until => entry.waiting.push((size, until)),
             Err(_) => {
                 entry.allowances.record_refusal(&self.team, size);
                 self.refused += size;
@@ -274,7 +274,7 @@
         for answer in due {
             match answer.grants {
                 Some(grants) => entry.allowances.apply_grants(&answer.report, &grants, at),
-                None => entry.allowances.close(&answer.report),
+                None => entry.allowances.clear_pending(&answer.report),
             }
         }
     }
@@ -287,7 +287,7 @@
     /// A box's demand for the team alone, beside its beats.
     fn demand(&mut self, place: usize, now: f64) {
         let at = self.instant(now);
-        let Some(report) = self.boxes[place].allowances.demand(at) else {
+        let Some(report) = self.boxes[place].allowances.next_demand(at) else {
             return;
         };
         if self.reaches(place, now) {
@@ -320,10 +320,10 @@
         let unheard = self.presence.unheard();
         let level = self.level.get_or_insert_with(|| TokenBucket::new(now));
         let demand = report.teams.get(&self.team).copied();
-        let told = demand.map(|demand| TeamReport { life, turn: report.turn, demand });
+        let told = demand.map(|demand| TeamReport { incarnation: life, seq: report.seq, demand });
         let grant =
             told.and_then(|it| level.handle_report(now, limit, self.noted, unheard, &id, it));
-        if level.is_lacking() && self.notes.is_none() {
+        if level.needs_low_note() && self.notes.is_none() {
             self.notes = Some(now + 0.04);
         }
         grant.map(|it| (self.team.clone(), it)).into_iter().collect()
@@ -337,7 +337,7 @@
         }
         let entry = &mut self.boxes[place];
         entry.next_beat = now + BEAT;
-        let report = entry.allowances.report(at);
+        let report = entry.allowances.heartbeat_report(at);
         let id = entry.id.clone();
         self.learn(place);
         let grants = self.grant(place, now, &report);
@@ -370,8 +370,8 @@
     Tolerance { window: WINDOW, overshoot: 0.1, slack: day.slack }
 }
 
-fn kept(day: &Day) -> Limit {
-    day.limit.with(tolerance(day))
+fn kept(day: &Day) -> RateLimit {
+    day.limit.with_tolerance(tolerance(day))
 }
 
 fn bound(day: &Day) -> f64 {
@@ -382,7 +382,7 @@
     Day {
         boxes,
         busy: boxes,
-        limit: Limit { rate, burst: rate },
+        limit: RateLimit { rate, burst: rate },
         slack: 140_000.0,
         demand,
         pause: 0.0,
--- a/tests/throttle.rs
+++ b/tests/throttle.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-use emberturn::decide::allowance::LEASE_TIME;
+use emberturn::decide::allowance::LEASE_DURATION;
 use emberturn::decide::limit_leases::{LimitLeases, ReportOrigin};
 use emberturn::decide::throttle::{LimitLease, LimitNotice, LimitReport, Throttles};
 use emberturn::ids::{BoxId, Incarnation, ServerKey, ServiceName};
@@ -161,7 +161,7 @@
             if self.chance(self.day.change) {
                 self.leases = LimitLeases::default();
                 self.term = (self.term.0 + 1, at);
-                self.taken_over = at + LEASE_TIME.as_secs_f64();
+                self.taken_over = at + LEASE_DURATION.as_secs_f64();
             }
             for place in 0..self.boxes.len() {
                 self.trouble(place, at);
