--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -9,7 +9,7 @@
 use tracing::field;
 
 use super::Relay;
-use super::call::{Call, Hop, Load, ReplyHead, RunCopy};
+use super::call::{Call, KvCacheExport, ReplyHead, SendContext, ServerLoad};
 use super::ends;
 use super::known::Known;
 use super::table::Route;
@@ -95,11 +95,11 @@
     if head.not_run || status == StatusCode::MISDIRECTED_REQUEST {
         return Verdict::NotRun;
     }
-    if !head.own {
+    if !head.matches_request {
         return Verdict::Spoilt("the answer belongs to another request");
     }
     if status.is_success() {
-        return match (head.vouched, encoded) {
+        return match (head.signed, encoded) {
             (true, false) => Verdict::Pass,
             (false, _) => Verdict::Spoilt("the answer is not vouched for"),
             (true, true) => Verdict::Spoilt("the answer is encoded"),
@@ -117,13 +117,13 @@
 
 /// From where a send goes on.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Origin<'a> {
+pub struct StartState<'a> {
     /// The last event that the caller has.
-    pub resume: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// A server that likely keeps a part of the prompt.
-    pub fetch: Option<SocketAddr>,
+    pub prefix_source: Option<SocketAddr>,
     /// The memory of the run that goes on.
-    pub copy: Option<&'a RunCopy>,
+    pub kv_export: Option<&'a KvCacheExport>,
 }
 
 /// An answer whose head may be passed on.
@@ -143,14 +143,14 @@
     call: &Call,
     route: &Route,
     known: &Known,
-    origin: Origin<'_>,
+    start: StartState<'_>,
     limit: Duration,
 ) -> Result<Reply, SendFailure> {
     if known.state.is_over() {
         let detail = format!("{} has started again", known.server.id);
         return Err(SendFailure::NotRun { arrived: false, detail });
     }
-    let request = request(relay, call, known, origin);
+    let request = request(relay, call, known, start);
     let reuse = match route.repeat.is_repeatable() {
         true => Reuse::Any,
         false => Reuse::Rested(REST_LIMIT),
@@ -183,7 +183,7 @@
         Verdict::Failed => {
             tracing::info!(
                 event = "answer_failed", id = call.head.id, backend_server = %known.server.id,
-                status = exchange.status.as_u16(), left_ms = call.left().as_millis() as u64,
+                status = exchange.status.as_u16(), left_ms = call.time_left().as_millis() as u64,
             );
             record_failed_answer(relay, known, route);
             Ok(Reply { exchange, failed: true })
@@ -197,10 +197,10 @@
             }
             if head.load.is_none() && exchange.status == StatusCode::SERVICE_UNAVAILABLE {
                 // Full: the next request is to know.
-                record_load(relay, known, Load { running: known.server.slots, waiting: 1 });
+                record_load(relay, known, ServerLoad { running: known.server.slots, waiting: 1 });
             }
             let mut detail = format!("{} refused with {}", known.server.id, exchange.status);
-            if let Some(pause) = head.pause {
+            if let Some(pause) = head.requested_pause {
                 detail += &format!(" and asks for a pause of {} ms", pause.as_millis());
             }
             let _ = exchange.read_whole(REFUSAL_BYTES, REFUSAL_TIME).await;
@@ -255,7 +255,7 @@
 /// Records what a server asks of this box with an answer: a limit, a pause, or nothing more as it leaves.
 fn record_restraints(relay: &Relay, known: &Known, head: &ReplyHead) {
     record_limit(relay, known, head);
-    if let Some(pause) = head.pause {
+    if let Some(pause) = head.requested_pause {
         let service = &known.server.service;
         relay.pauses().record(&known.key(), service, pause, clock::now());
     }
@@ -267,16 +267,16 @@
 /// Records what an answer says of its server's limit. Only an answer that the server vouches for shows that its limit
 /// has ended.
 fn record_limit(relay: &Relay, known: &Known, head: &ReplyHead) {
-    let is_silent = head.limit == LimitNotice::None;
-    if is_silent && (!(head.own && head.vouched) || relay.throttles().is_empty()) {
+    let is_silent = head.limit_notice == LimitNotice::None;
+    if is_silent && (!(head.matches_request && head.signed) || relay.throttles().is_empty()) {
         return;
     }
     let server = known.key();
-    if head.limit == LimitNotice::Unreadable {
+    if head.limit_notice == LimitNotice::Unreadable {
         tracing::warn!(event = "server_limit_unreadable", backend_server = %server.id);
     }
     let service = &known.server.service;
-    let change = relay.throttles().record_notice(&server, service, head.limit, clock::now());
+    let change = relay.throttles().record_notice(&server, service, head.limit_notice, clock::now());
     if let Some(LimitChange { before, now }) = change {
         let (before, now) = (before.map(field::display), now.map(field::display));
         tracing::info!(event = "server_limit_changed", backend_server = %server.id, before, now);
@@ -284,19 +284,30 @@
     }
 }
 
-fn record_load(relay: &Relay, known: &Known, load: Load) {
+fn record_load(relay: &Relay, known: &Known, load: ServerLoad) {
     known.state.report(load.running, load.waiting, Duration::ZERO);
     let requests = load.running + load.waiting;
     relay.loads().note(known.key(), requests, Instant::now());
 }
 
-fn request(relay: &Relay, call: &Call, known: &Known, origin: Origin<'_>) -> Request<Full<Bytes>> {
-    let Origin { resume, fetch, copy } = origin;
-    let hop = Hop { server: &known.server.id, deadline: call.left(), resume, fetch, copy };
+fn request(
+    relay: &Relay,
+    call: &Call,
+    known: &Known,
+    start: StartState<'_>,
+) -> Request<Full<Bytes>> {
+    let StartState { last_event_id, prefix_source, kv_export } = start;
+    let context = SendContext {
+        server: &known.server.id,
+        timeout: call.time_left(),
+        last_event_id,
+        prefix_source,
+        kv_export,
+    };
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = Uri::from(call.path.clone());
-    *request.headers_mut() = relay.context.dialect.write_call(call, &hop);
+    *request.headers_mut() = relay.context.dialect.write_call(call, &context);
     request
 }
 
--- a/src/relay/attempts.rs
+++ b/src/relay/attempts.rs
@@ -54,7 +54,7 @@
     unknown: Option<SendFailure>,
     last: Option<SendFailure>,
     /// The server from which the one chosen last is to copy a part of the prompt.
-    fetch: Option<SocketAddr>,
+    prefix_source: Option<SocketAddr>,
     /// What the server chosen last has to read.
     reading: Reading,
     /// How far it is.
@@ -87,7 +87,7 @@
             refused: 0,
             unknown: None,
             last: None,
-            fetch: None,
+            prefix_source: None,
             reading: Reading::default(),
             reach: Reach::Local,
             choice: Choice::default(),
@@ -100,8 +100,8 @@
     }
 
     /// The server from which the one chosen last is to copy a part of the prompt.
-    pub fn fetch(&self) -> Option<SocketAddr> {
-        self.fetch
+    pub fn prefix_source(&self) -> Option<SocketAddr> {
+        self.prefix_source
     }
 
     /// What the server chosen last has to read.
@@ -129,7 +129,7 @@
         }
         let needed = (route.objective / LEAST_LEFT).min(route.timeout / LEAST_LEFT);
         let hopeless = self.unreached >= UNREACHED_LIMIT || self.refused >= REFUSED_LIMIT;
-        if call.left() <= needed || hopeless {
+        if call.time_left() <= needed || hopeless {
             return Err(self.failure(relay));
         }
         if self.sent >= route.attempts.max(1) {
@@ -181,7 +181,7 @@
             event = "send_missed", id = call.head.id, service = %self.service,
             backend_server = %known.server.id, not_run = matches!(failure, SendFailure::NotRun { .. }),
             request = failure.may_have_run().then(|| tracing::field::display(call.fingerprint())),
-            detail = failure.detail(), left_ms = call.left().as_millis() as u64,
+            detail = failure.detail(), left_ms = call.time_left().as_millis() as u64,
         );
         match &failure {
             SendFailure::NotRun { arrived: false, .. } => {
@@ -288,7 +288,7 @@
             restraint::claim(relay, &picked.known).then_some(picked)
         };
         let picked = (0..CLAIMS).find_map(pick)?;
-        self.fetch = picked.fetch;
+        self.prefix_source = picked.prefix_source;
         self.reading = picked.reading;
         self.reach = picked.reach;
         Some(picked.known)
--- a/src/relay/call.rs
+++ b/src/relay/call.rs
@@ -14,16 +14,16 @@
 
 /// Tokens of a generation.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Size {
+pub struct GenerationSize {
     /// Tokens of the prompt.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Tokens that come out at most.
-    pub output: u64,
+    pub max_output_tokens: u64,
 }
 
 /// A part of a prompt. Requests share parts; the last one is the request's or its session's own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PromptPart {
+pub struct PromptSegment {
     /// Its id.
     pub id: u64,
     /// Its tokens.
@@ -36,15 +36,15 @@
     /// The caller's id for this request.
     pub id: String,
     /// The key it came with.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// How long the caller waits.
-    pub deadline: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// What is generated, where the caller says so.
-    pub size: Option<Size>,
+    pub generation: Option<GenerationSize>,
     /// The parts of the prompt.
-    pub parts: Vec<PromptPart>,
+    pub prompt_segments: Vec<PromptSegment>,
     /// The last event the caller has of a stream it takes up.
-    pub resume: Option<u64>,
+    pub last_event_id: Option<u64>,
 }
 
 /// A request, read whole.
@@ -74,7 +74,7 @@
     /// Which request it is, whatever id its caller gives an attempt: those who send the same bytes to the same
     /// place with a key of the same team send the same request.
     pub fn fingerprint(&self) -> Fingerprint {
-        let caller = self.team.as_ref().map(TeamName::as_str).or(self.head.key.as_deref());
+        let caller = self.team.as_ref().map(TeamName::as_str).or(self.head.api_key.as_deref());
         let host = self.headers.get(HOST).map_or(&b""[..], HeaderValue::as_bytes);
         let parts = [
             caller.unwrap_or_default().as_bytes(),
@@ -95,46 +95,46 @@
     }
 
     /// The time left.
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
     /// Tokens of the prompt, where known.
-    pub fn prompt(&self) -> u64 {
-        self.head.size.map_or(0, |size| size.prompt)
+    pub fn prompt_tokens(&self) -> u64 {
+        self.head.generation.map_or(0, |size| size.prompt_tokens)
     }
 
     /// Tokens that an engine keeps for it at most, where known.
-    pub fn tokens(&self) -> u64 {
-        self.head.size.map_or(0, |size| size.prompt + size.output)
+    pub fn max_tokens(&self) -> u64 {
+        self.head.generation.map_or(0, |size| size.prompt_tokens + size.max_output_tokens)
     }
 
     /// The id of the longest part that other requests share, and the tokens up to its end.
-    pub fn shared_part(&self) -> Option<PromptPart> {
-        let shared = self.head.parts.split_last()?.1;
+    pub fn shared_prefix(&self) -> Option<PromptSegment> {
+        let shared = self.head.prompt_segments.split_last()?.1;
         let tokens = shared.iter().map(|part| part.tokens).sum();
-        shared.last().map(|part| PromptPart { id: part.id, tokens })
+        shared.last().map(|part| PromptSegment { id: part.id, tokens })
     }
 }
 
 /// What one send adds to a request.
 #[derive(Debug, Clone)]
-pub struct Hop<'a> {
+pub struct SendContext<'a> {
     /// The backend server that is meant; any other must not run the request.
     pub server: &'a BackendId,
     /// How long the backend server may work.
-    pub deadline: Duration,
+    pub timeout: Duration,
     /// The last event that the caller has, when a stream is taken up.
-    pub resume: Option<u64>,
+    pub last_event_id: Option<u64>,
     /// A backend server that likely keeps a part of the prompt: it is copied from there.
-    pub fetch: Option<SocketAddr>,
+    pub prefix_source: Option<SocketAddr>,
     /// The memory of the request's run, where it was moved.
-    pub copy: Option<&'a RunCopy>,
+    pub kv_export: Option<&'a KvCacheExport>,
 }
 
 /// The memory of a run that was stopped to be moved.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RunCopy {
+pub struct KvCacheExport {
     /// The backend server on which it ran.
     pub source: SocketAddr,
     /// What that server calls it.
@@ -143,7 +143,7 @@
 
 /// The load that a backend server tells with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Load {
+pub struct ServerLoad {
     /// Requests running.
     pub running: u32,
     /// Requests waiting.
@@ -152,22 +152,22 @@
 
 /// What a backend server says of itself when it is asked.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Report {
+pub struct ServerReport {
     /// Its life; 0 where it tells none.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Its load, where it tells it.
-    pub load: Option<Load>,
+    pub load: Option<ServerLoad>,
     /// Whether it is leaving, where it tells it.
     pub leaving: Option<bool>,
     /// When it goes, counted from the answer, where it tells it.
-    pub left: Option<Duration>,
+    pub time_left: Option<Duration>,
 }
 
 /// What a backend server answers when it is asked to move a run.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct MoveAnswer {
+pub struct MoveReply {
     /// Its life; 0 where it tells none.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// What it calls the copy; `None` when there is none.
     pub handle: Option<String>,
 }
@@ -176,17 +176,17 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReplyHead {
     /// Whether it answers the request that was sent.
-    pub own: bool,
+    pub matches_request: bool,
     /// Whether the backend server vouches for the body.
-    pub vouched: bool,
+    pub signed: bool,
     /// Whether the backend server says that it has not run the request.
     pub not_run: bool,
     /// The load it tells.
-    pub load: Option<Load>,
+    pub load: Option<ServerLoad>,
     /// The limit that it names.
-    pub limit: LimitNotice,
+    pub limit_notice: LimitNotice,
     /// The pause that it asks this box for, where it turned the request away.
-    pub pause: Option<Duration>,
+    pub requested_pause: Option<Duration>,
     /// Whether it says that it is leaving.
     pub leaving: bool,
 }
--- a/src/relay/dialect.rs
+++ b/src/relay/dialect.rs
@@ -9,7 +9,7 @@
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, StatusCode};
 
-use super::call::{Call, CallHead, Hop, MoveAnswer, ReplyHead, Report};
+use super::call::{Call, CallHead, MoveReply, ReplyHead, SendContext, ServerReport};
 use super::table::RouteTable;
 use crate::error::Failure;
 use crate::ids::BackendId;
@@ -23,7 +23,7 @@
     fn read_call(&self, head: &Parts) -> Result<CallHead, Failure>;
 
     /// The headers with which a call goes to a backend server.
-    fn write_call(&self, call: &Call, hop: &Hop<'_>) -> HeaderMap;
+    fn write_call(&self, call: &Call, context: &SendContext<'_>) -> HeaderMap;
 
     /// Reads the head of a backend server's answer to a call.
     fn read_reply(&self, call: &Call, status: StatusCode, headers: &HeaderMap) -> ReplyHead;
@@ -38,17 +38,17 @@
     ) -> (&'static str, HeaderMap, String);
 
     /// What the server says to that.
-    fn read_move(&self, body: &[u8]) -> MoveAnswer;
+    fn read_move_reply(&self, body: &[u8]) -> MoveReply;
 
     /// The path and headers with which a backend server, and no other at its address, is asked for a
     /// report on itself.
     fn write_report(&self, server: &BackendId) -> (&'static str, HeaderMap);
 
     /// Reads that report; `None` where it is none.
-    fn read_report(&self, body: &[u8]) -> Option<Report>;
+    fn read_report(&self, body: &[u8]) -> Option<ServerReport>;
 
     /// Marks an answer of the relay's own: whose it is, and when to come back.
-    fn mark_own(&self, headers: &mut HeaderMap, id: Option<&str>, wait: Option<Duration>);
+    fn mark_relay_answer(&self, headers: &mut HeaderMap, id: Option<&str>, wait: Option<Duration>);
 
     /// Reads a published document.
     ///
--- a/src/relay/lives.rs
+++ b/src/relay/lives.rs
@@ -10,7 +10,7 @@
 use hyper::{Request, Uri};
 
 use super::Relay;
-use super::call::Report;
+use super::call::ServerReport;
 use super::known::Known;
 use crate::backend::{Reuse, SendFault};
 use crate::decide::lives::Heard;
@@ -53,7 +53,7 @@
     }
 }
 
-async fn report(relay: &Relay, known: &Known) -> Result<Option<Report>, SendFault> {
+async fn report(relay: &Relay, known: &Known) -> Result<Option<ServerReport>, SendFault> {
     let addr = known.server.addr;
     let (path, mut headers) = relay.context.dialect.write_report(&known.server.id);
     if let Ok(host) = HeaderValue::from_str(&addr.to_string()) {
--- a/src/relay/moving.rs
+++ b/src/relay/moving.rs
@@ -15,9 +15,9 @@
 use tokio::sync::watch;
 
 use super::Relay;
-use super::attempt::Origin;
+use super::attempt::StartState;
 use super::attempts::CallAttempts;
-use super::call::{Call, MoveAnswer, RunCopy};
+use super::call::{Call, KvCacheExport, MoveReply};
 use super::known::Known;
 use super::quarantine;
 use super::stream::{Opening, Progress, Source, next, open};
@@ -79,18 +79,18 @@
     leaving: &Leaving,
 ) -> bool {
     let spec = relay.engine_spec(service).filter(|spec| spec.moves);
-    let (Some(spec), Some(size)) = (spec, call.head.size) else {
+    let (Some(spec), Some(size)) = (spec, call.head.generation) else {
         return false;
     };
     let delivered = events * spec.event.0;
-    let likely = (size.output as f64 * LIKELY_PART) as u64;
+    let likely = (size.max_output_tokens as f64 * LIKELY_PART) as u64;
     let facts = StreamFacts {
         notice: leaving.gone.saturating_duration_since(Instant::now()),
-        prompt: Tokens(size.prompt),
+        prompt: Tokens(size.prompt_tokens),
         delivered: Tokens(delivered),
         remaining: Tokens(likely).less(Tokens(delivered)),
         between: source.began.elapsed() / u32::try_from(delivered.max(1)).unwrap_or(u32::MAX),
-        export: export_time(&spec, size.prompt + delivered),
+        export: export_time(&spec, size.prompt_tokens + delivered),
         // The move keeps it one run.
         repeatable: true,
     };
@@ -150,15 +150,19 @@
         to = %target.server.id, status = status.as_u16(), last = progress.last,
         end = end.as_ref().map(SendFault::to_string),
     );
-    let copy = RunCopy { source: known.server.addr, handle };
+    let export = KvCacheExport { source: known.server.addr, handle };
     // Without room at the target, the source keeps the memory and may go on itself.
     let places = match status.is_success() {
         true => [&target, &known],
         false => [&known, &known],
     };
     for place in places {
-        let origin = Origin { resume: progress.last, fetch: None, copy: Some(&copy) };
-        match open(relay, call, route, place, origin).await {
+        let start = StartState {
+            last_event_id: progress.last,
+            prefix_source: None,
+            kv_export: Some(&export),
+        };
+        match open(relay, call, route, place, start).await {
             Ok(Opening::Stream(opened)) => {
                 relay.context.metrics.count_resume("moved");
                 tracing::info!(
@@ -214,10 +218,10 @@
     };
     match answered.await {
         Ok((status, body)) => {
-            let MoveAnswer { life, handle } = relay.context.dialect.read_move(&body);
+            let MoveReply { incarnation, handle } = relay.context.dialect.read_move_reply(&body);
             // Another server may have its address by now: one that is not meant says so.
             if status != StatusCode::MISDIRECTED_REQUEST {
-                relay.servers.apply_incarnation(source, life);
+                relay.servers.apply_incarnation(source, incarnation);
             }
             if handle.is_none() {
                 tracing::info!(
--- a/src/relay/offered.rs
+++ b/src/relay/offered.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use super::call::Size;
+use super::call::GenerationSize;
 use crate::decide::capacity::{Arrivals, Offered};
 use crate::ids::ServiceName;
 
@@ -23,8 +23,8 @@
 
 impl OfferedTracker {
     /// A call for a service arrived.
-    pub fn count(&mut self, service: &ServiceName, size: Size, objective: Duration) {
-        let (tokens, output) = (size.prompt as f64, size.output as f64);
+    pub fn count(&mut self, service: &ServiceName, size: GenerationSize, objective: Duration) {
+        let (tokens, output) = (size.prompt_tokens as f64, size.max_output_tokens as f64);
         let objective = objective.as_secs_f64();
         match self.came.get_mut(service) {
             Some(came) => came.count(tokens, output, objective),
--- a/src/relay/pick.rs
+++ b/src/relay/pick.rs
@@ -6,7 +6,7 @@
 
 use super::Relay;
 use super::attempts::Reading;
-use super::call::{Call, PromptPart};
+use super::call::{Call, PromptSegment};
 use super::known::Known;
 use super::placed::{Placed, PlacedServer};
 use super::restraint::Restraints;
@@ -61,7 +61,7 @@
     /// What it has to read.
     pub(super) reading: Reading,
     /// The server from which it is to copy a part of the prompt.
-    pub(super) fetch: Option<SocketAddr>,
+    pub(super) prefix_source: Option<SocketAddr>,
 }
 
 /// In each region, the server at which all its boxes expect the call's shared part: a part that is asked
@@ -95,14 +95,14 @@
     /// A service of few servers has one home for a part, whichever region asks: with some four servers in a
     /// region each that comes or goes moves a quarter of all parts there, and its regions read them anew.
     fn homes(&self, placed: &Placed) -> Homes {
-        let part = self.call.shared_part();
+        let part = self.call.shared_prefix();
         match compares_all(placed.all.len()) {
             true => vec![part.and_then(|it| self.home(&placed.all, it)); placed.regions.len()],
             false => placed.regions.iter().map(|servers| self.home(servers, part?)).collect(),
         }
     }
 
-    fn home(&self, servers: &[PlacedServer], part: PromptPart) -> Option<PlacedServer> {
+    fn home(&self, servers: &[PlacedServer], part: PromptSegment) -> Option<PlacedServer> {
         let at = servers.partition_point(|it| it.known.hash < affinity(part.id, 0));
         let near = neighbours(servers.len(), at).into_iter().map(|place| &servers[place]);
         // A server that limits itself takes a few of the calls that share a part.
@@ -167,10 +167,10 @@
             None => choose(&self.model, candidates, random),
         }?;
         let (chosen, candidate) = (&compared.servers[place], &compared.candidates[place]);
-        let shared = self.call.shared_part().map_or(0, |part| part.tokens);
+        let shared = self.call.shared_prefix().map_or(0, |part| part.tokens);
         let reading = Reading {
             tokens: candidate.uncached,
-            own: self.call.prompt().saturating_sub(shared),
+            own: self.call.prompt_tokens().saturating_sub(shared),
             is_clear: chosen.known.unread() == 0 && !candidate.ejected,
         };
         let keeper = compared.keepers[place].as_ref();
@@ -179,7 +179,7 @@
             known: chosen.known.clone(),
             reach: chosen.reach,
             reading,
-            fetch: fetch.map(|keeper| keeper.known.server.addr),
+            prefix_source: fetch.map(|keeper| keeper.known.server.addr),
         })
     }
 
@@ -209,7 +209,7 @@
                 slots: known.server.slots,
                 stay: stay.unwrap_or_default(),
                 unread: known.unread(),
-                uncached: self.call.prompt().saturating_sub(cached),
+                uncached: self.call.prompt_tokens().saturating_sub(cached),
                 distance: distances[place],
                 full: any_room && !room[place],
                 ejected: known.state.is_ejected() || known.state.is_avoided(&self.route.name, now),
@@ -229,11 +229,11 @@
             tokens: it.known.tokens(),
             others: *others,
         });
-        have_room(spec.memory, &filling.collect::<Vec<_>>(), self.call.tokens())
+        have_room(spec.memory, &filling.collect::<Vec<_>>(), self.call.max_tokens())
     }
 
     fn distances(&self, open: &[PlacedServer]) -> Vec<Distance> {
-        let output = self.call.head.size.map_or(0, |size| size.output);
+        let output = self.call.head.generation.map_or(0, |size| size.max_output_tokens);
         let kilobytes = kilobytes(self.call.body.len(), output);
         let weights = &self.relay.context.settings.weights;
         let learned = self.relay.distances();
@@ -247,7 +247,7 @@
 
     /// Prompt tokens of the call that a server need not read, which keeps the shared part or copies it.
     fn cached(&self, keeps: bool, copies: bool) -> u64 {
-        let Some(part) = self.call.shared_part() else {
+        let Some(part) = self.call.shared_prefix() else {
             return 0;
         };
         match (keeps, copies) {
@@ -259,7 +259,7 @@
 
     /// Whether this box has lately had the call's shared part read there.
     fn has_seen(&self, known: &Known) -> bool {
-        let part = self.call.shared_part();
+        let part = self.call.shared_prefix();
         part.is_some_and(|part| known.state.cached_blocks(&[part.id], CACHE_TIME) > 0)
     }
 
@@ -274,7 +274,7 @@
         seen: &[(&'a PlacedServer, f64)],
         homes: &'a Homes,
     ) -> Option<&'a PlacedServer> {
-        let part = self.call.shared_part().filter(|part| part.tokens >= FETCH_TOKENS)?;
+        let part = self.call.shared_prefix().filter(|part| part.tokens >= FETCH_TOKENS)?;
         let home = homes.get(it.region).and_then(Option::as_ref).filter(|home| !is_same(home, it));
         let mut others = seen.iter().filter(|(other, _)| !is_same(other, it));
         let near = others.clone().find(|(other, _)| other.region == it.region);
@@ -287,7 +287,7 @@
     }
 
     /// Whether copying a shared part over a distance between regions saves more than it costs.
-    fn copy_saves(&self, part: PromptPart, time: f64) -> bool {
+    fn copy_saves(&self, part: PromptSegment, time: f64) -> bool {
         let Some(spec) = &self.engine else {
             return false;
         };
@@ -309,7 +309,7 @@
 /// once and not once a region, where that takes less time than reading it.
 fn first_home<'a>(
     it: &PlacedServer,
-    part: PromptPart,
+    part: PromptSegment,
     homes: &'a Homes,
 ) -> Option<&'a PlacedServer> {
     let first = homes.iter().flatten().max_by_key(|home| affinity(part.id, home.known.hash));
--- a/src/relay/plain.rs
+++ b/src/relay/plain.rs
@@ -10,7 +10,7 @@
 use hyper::{HeaderMap, Response, StatusCode};
 
 use super::Relay;
-use super::attempt::{Origin, Reply, SendFailure, restarted, seconds_since, send};
+use super::attempt::{Reply, SendFailure, StartState, restarted, seconds_since, send};
 use super::attempts::CallAttempts;
 use super::call::Call;
 use super::known::Known;
@@ -160,11 +160,11 @@
 }
 
 async fn pass_to(relay: &Relay, call: &Call, route: &Route, known: &Arc<Known>) -> Passed {
-    let mut flight = known.begin(call.prompt(), call.tokens());
+    let mut flight = known.begin(call.prompt_tokens(), call.max_tokens());
     let began = Instant::now();
-    let limit = call.left();
+    let limit = call.time_left();
     let result = tokio::time::timeout(limit, async {
-        let reply = send(relay, call, route, known, Origin::default(), limit).await?;
+        let reply = send(relay, call, route, known, StartState::default(), limit).await?;
         read(relay, reply, ANSWER_LIMIT).await
     });
     let (answer, failed) = tokio::select! {
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -121,7 +121,7 @@
     relay.context.metrics.count_request("-", failure.kind.answer().code);
     let mut response = answer::failed(failure);
     let id = Some(id).filter(|id| !id.is_empty());
-    relay.context.dialect.mark_own(response.headers_mut(), id, failure.retry_after);
+    relay.context.dialect.mark_relay_answer(response.headers_mut(), id, failure.retry_after);
     if relay.is_closing() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     }
@@ -155,7 +155,7 @@
     }
     let service = choose_service(&route)?;
     let id = head.id.clone();
-    let waits = head.deadline.unwrap_or(route.timeout).min(route.timeout);
+    let waits = head.timeout.unwrap_or(route.timeout).min(route.timeout);
     let urgency = urgency(team, &route);
     let claim = Claim::Request { team: team.map(|team| team.name.clone()), urgency };
     relay.gate.relieve(CLOSED_AT_ONCE);
@@ -166,7 +166,7 @@
     quarantine::check(relay, &call)?;
     let spent = take_allowance(relay, team, &call).await?;
     relay.retries().earn(&service, &retry_limit(relay));
-    relay.offered().count(&service, call.head.size.unwrap_or_default(), route.objective);
+    relay.offered().count(&service, call.head.generation.unwrap_or_default(), route.objective);
     let call = Arc::new(call);
     let (relay_kept, call_kept, route_kept) = (relay.clone(), call.clone(), route.clone());
     let answered = match route.repeat.is_stream() {
@@ -223,7 +223,7 @@
 
 /// How long a call may wait for a box to learn routes and backend servers.
 fn patience(head: &CallHead) -> Duration {
-    let deadline = head.deadline.unwrap_or_default();
+    let deadline = head.timeout.unwrap_or_default();
     (deadline / PATIENCE_PART).min(PATIENCE)
 }
 
@@ -245,9 +245,9 @@
     head: &CallHead,
 ) -> Result<Option<&'a Team>, Failure> {
     if !table.has_teams() || route.public {
-        return Ok(head.key.as_deref().and_then(|key| table.team_of(key)));
+        return Ok(head.api_key.as_deref().and_then(|key| table.team_of(key)));
     }
-    match head.key.as_deref().and_then(|key| table.team_of(key)) {
+    match head.api_key.as_deref().and_then(|key| table.team_of(key)) {
         Some(team) if relay.certainty().may_trust_keys() => Ok(Some(team)),
         Some(_) => Err(unsure("whether the key still holds is not known")),
         None => Err(Failure::new(Kind::UnknownKey, "the key belongs to no team")),
@@ -259,7 +259,7 @@
     let Ok(route) = find_route(table, request) else {
         return true;
     };
-    let has_team = || head.key.as_deref().is_some_and(|key| table.team_of(key).is_some());
+    let has_team = || head.api_key.as_deref().is_some_and(|key| table.team_of(key).is_some());
     table.has_teams() && !route.public && !has_team()
 }
 
@@ -311,7 +311,7 @@
     let Some(team) = team else {
         return Ok(0.0);
     };
-    let tokens = call.head.size.map(|_| call.tokens());
+    let tokens = call.head.generation.map(|_| call.max_tokens());
     let cost = team.cost(tokens);
     let began = tokio::time::Instant::now();
     let mut pause = Duration::ZERO;
--- a/src/relay/servers.rs
+++ b/src/relay/servers.rs
@@ -8,7 +8,7 @@
 use arc_swap::ArcSwap;
 use tokio::sync::Notify;
 
-use super::call::Report;
+use super::call::ServerReport;
 use super::known::{Known, LEAVE_TIME, end, update};
 use super::list::{
     ContentHash, IncarnationReport, ListIndex, ListPart, ListVersion, ListedServer, PartId,
@@ -247,10 +247,10 @@
     }
 
     /// Takes a server's report on itself, which it was asked for when `asked` was what was known of it.
-    pub fn apply_report(&self, asked: &Known, report: &Report) -> Heard {
+    pub fn apply_report(&self, asked: &Known, report: &ServerReport) -> Heard {
         let id = &asked.server.id;
-        let heard = self.apply_incarnation(asked, report.life);
-        match report.life.is_none() {
+        let heard = self.apply_incarnation(asked, report.incarnation);
+        match report.incarnation.is_none() {
             true => lock(&self.doubts).settle_untold(id, Instant::now()),
             false => lock(&self.doubts).settle(id),
         }
@@ -258,9 +258,9 @@
             return heard;
         };
         // A report that names no life is of the one that was asked.
-        let is_own = match report.life.is_none() {
+        let is_own = match report.incarnation.is_none() {
             true => Arc::ptr_eq(&known.state, &asked.state),
-            false => known.life() == report.life,
+            false => known.life() == report.incarnation,
         };
         if !is_own {
             return heard;
@@ -269,7 +269,7 @@
             known.state.report(load.running, load.waiting, Duration::ZERO);
         }
         match report.leaving {
-            Some(true) if known.leave(report.left.unwrap_or(LEAVE_TIME)) => {
+            Some(true) if known.leave(report.time_left.unwrap_or(LEAVE_TIME)) => {
                 tracing::info!(event = "backend_servers_leaving", count = 1, servers = %id);
             }
             // Its own word counts against an earlier notice only where the list agrees with it.
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -11,7 +11,7 @@
 use hyper::{HeaderMap, Response, StatusCode};
 
 use super::Relay;
-use super::attempt::{Origin, SendFailure, record_fault, restarted, seconds_since, send};
+use super::attempt::{SendFailure, StartState, record_fault, restarted, seconds_since, send};
 use super::attempts::CallAttempts;
 use super::call::Call;
 use super::events::{EventCutter, event_id};
@@ -96,8 +96,13 @@
         let known = chosen.clone();
         // The connection to a server that is given up is closed before another one gets the call.
         let opened = {
-            let mut opening =
-                pin!(open(&relay, &call, &route, &known, origin(call.head.resume, &attempts)));
+            let mut opening = pin!(open(
+                &relay,
+                &call,
+                &route,
+                &known,
+                start_state(call.head.last_event_id, &attempts)
+            ));
             tokio::select! {
                 opened = &mut opening => Some(opened),
                 () = tokio::time::sleep(patience(&route)), if attempts.may_repeat(&route) => {
@@ -115,7 +120,7 @@
             None => {
                 tracing::info!(
                     event = "stream_given_up", id = call.head.id, backend_server = %known.server.id,
-                    left_ms = call.left().as_millis() as u64,
+                    left_ms = call.time_left().as_millis() as u64,
                 );
                 record_fault(&relay, &known, true);
                 continue;
@@ -145,13 +150,13 @@
 fn silence(route: &Route, call: &Call) -> Duration {
     let gap = route.gap.unwrap_or(LEAST_SILENCE) * SILENCE_GAPS;
     match route.repeat {
-        Repeat::ResumableStream => gap.max(LEAST_SILENCE).min(call.left()),
-        Repeat::Stream | Repeat::Safe | Repeat::Once => call.left(),
+        Repeat::ResumableStream => gap.max(LEAST_SILENCE).min(call.time_left()),
+        Repeat::Stream | Repeat::Safe | Repeat::Once => call.time_left(),
     }
 }
 
-fn origin(resume: Option<u64>, attempts: &CallAttempts) -> Origin<'static> {
-    Origin { resume, fetch: attempts.fetch(), copy: None }
+fn start_state(last_event_id: Option<u64>, attempts: &CallAttempts) -> StartState<'static> {
+    StartState { last_event_id, prefix_source: attempts.prefix_source(), kv_export: None }
 }
 
 fn count(relay: &Relay, call: &Call) {
@@ -195,14 +200,14 @@
     call: &Call,
     route: &Route,
     known: &Arc<Known>,
-    origin: Origin<'_>,
+    start: StartState<'_>,
 ) -> Result<Opening, SendFailure> {
-    let limit = call.left();
-    let flight = known.begin(call.prompt(), call.tokens());
+    let limit = call.time_left();
+    let flight = known.begin(call.prompt_tokens(), call.max_tokens());
     let mut over = known.state.follow_end();
     let began = Instant::now();
     let opening = async {
-        let reply = send(relay, call, route, known, origin, limit).await?;
+        let reply = send(relay, call, route, known, start, limit).await?;
         if !reply.exchange.status.is_success() {
             let (answer, failed) = read(relay, reply, FAILURE_LIMIT).await?;
             return Ok(Opening::Whole(answer.response(whole), failed));
@@ -227,7 +232,7 @@
     };
     match &opened {
         Ok(Opening::Stream(_)) => {
-            if let Some(part) = call.shared_part() {
+            if let Some(part) = call.shared_prefix() {
                 known.state.record_prefixes(&[part.id], PARTS_KEPT);
             }
         }
@@ -296,9 +301,9 @@
 
     /// Has the learner of the service's engines take the stream's pace, where it came from one of them whole.
     fn record_pace(&self, relay: &Relay, service: &ServiceName, call: &Call) {
-        if let (None, Some(size)) = (call.head.resume, call.head.size) {
+        if let (None, Some(size)) = (call.head.last_event_id, call.head.generation) {
             let seconds = self.at.saturating_duration_since(self.began).as_secs_f64();
-            relay.engines().record_stream(service, self.events, size.output, seconds);
+            relay.engines().record_stream(service, self.events, size.max_output_tokens, seconds);
         }
     }
 
@@ -343,7 +348,7 @@
     kept: Kept,
 ) -> Response<Body> {
     let Opened { status, headers, mut source, first } = opened;
-    let mut progress = Progress::new(call.head.resume);
+    let mut progress = Progress::new(call.head.last_event_id);
     progress.pass(&first);
     progress.late = call.arrived.elapsed() > route.objective;
     let passing = (relay.clone(), call.clone(), route.clone());
@@ -354,7 +359,7 @@
         loop {
             let step = tokio::select! {
                 leaving = moving::leaving_of(&mut following) => Err(leaving),
-                came = next(&mut source, &mut progress, limit.min(call.left())) => Ok(came),
+                came = next(&mut source, &mut progress, limit.min(call.time_left())) => Ok(came),
             };
             let came = match step {
                 Ok(came) => came,
@@ -417,9 +422,9 @@
                 Repeat::Stream | Repeat::Safe | Repeat::Once => None,
             };
             let Some(other) = other else {
-                if fault == SendFault::TimedOut && !call.left().is_zero() {
+                if fault == SendFault::TimedOut && !call.time_left().is_zero() {
                     // Nobody else can take it up; the server may still go on.
-                    limit = call.left();
+                    limit = call.time_left();
                     continue;
                 }
                 tracing::warn!(
@@ -509,7 +514,7 @@
     tracing::info!(
         event = "stream_broke", id = call.head.id, request = %call.fingerprint(), route = route.name,
         backend_server = %known.server.id, detail = %fault, last = progress.last,
-        resumable = route.repeat.is_repeatable(), left_ms = call.left().as_millis() as u64,
+        resumable = route.repeat.is_repeatable(), left_ms = call.time_left().as_millis() as u64,
     );
 }
 
@@ -525,7 +530,7 @@
 ) -> Option<(Bytes, Source)> {
     let mut known = known;
     loop {
-        match open(relay, call, route, &known, origin(progress.last, attempts)).await {
+        match open(relay, call, route, &known, start_state(progress.last, attempts)).await {
             Ok(Opening::Stream(opened)) => {
                 relay.context.metrics.count_resume("elsewhere");
                 tracing::info!(
--- a/src/relay/taking.rs
+++ b/src/relay/taking.rs
@@ -288,7 +288,7 @@
     fn lets_go(&mut self) -> bool {
         self.look = Box::pin(sleep(LOOK_TIME));
         let held = self.held.map_or(Duration::ZERO, |since| since.elapsed());
-        let taking = self.shared.taking(held, self.call.left());
+        let taking = self.shared.taking(held, self.call.time_left());
         let Some(slow) = judge(&taking, self.route.gap, self.route.repeat.is_repeatable()) else {
             return false;
         };
--- a/tests/distance_relay.rs
+++ b/tests/distance_relay.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use emberturn::relay::attempts::CallAttempts;
-use emberturn::relay::call::{Call, CallHead, PromptPart, Size};
+use emberturn::relay::call::{Call, CallHead, GenerationSize, PromptSegment};
 use emberturn::relay::known::{Flight, Known};
 use emberturn::relay::list::Server;
 use emberturn::relay::table::Route;
@@ -44,11 +44,11 @@
 
 /// A call; its prompt has a part that others share, if one is named.
 fn call(part: Option<u64>) -> Call {
-    let shared = part.map(|id| PromptPart { id, tokens: 5_000 });
-    let parts = shared.into_iter().chain([PromptPart { id: 0, tokens: 1_000 }]).collect();
-    let size = Some(Size { prompt: 6_000, output: 100 });
+    let shared = part.map(|id| PromptSegment { id, tokens: 5_000 });
+    let parts = shared.into_iter().chain([PromptSegment { id: 0, tokens: 1_000 }]).collect();
+    let size = Some(GenerationSize { prompt_tokens: 6_000, max_output_tokens: 100 });
     Call {
-        head: CallHead { size, parts, ..CallHead::default() },
+        head: CallHead { generation: size, prompt_segments: parts, ..CallHead::default() },
         method: Method::POST,
         path: "/stream/x".parse().unwrap(),
         headers: HeaderMap::new(),
@@ -68,7 +68,7 @@
 fn chosen(relay: &TestRelay, part: Option<u64>) -> (Arc<Known>, bool) {
     let mut course = CallAttempts::new("svc".parse().unwrap());
     let known = course.next(&relay.relay, &call(part), &stream_route(relay)).unwrap();
-    (known, course.fetch().is_some())
+    (known, course.prefix_source().is_some())
 }
 
 /// Takes all places of the servers in data centres.
--- a/tests/names.rs
+++ b/tests/names.rs
@@ -14,7 +14,7 @@
 const DONE: [&str; 3] = ["src/control", "src/decide", "src/relay"];
 
 /// Type names that still stand for two things, each to go.
-const DOUBLED: [&str; 24] = [
+const DOUBLED: [&str; 22] = [
     "Action",
     "Arguments",
     "Call",
@@ -24,12 +24,10 @@
     "End",
     "Facts",
     "Heard",
-    "Hop",
     "Limits",
     "Load",
     "Need",
     "News",
-    "Origin",
     "Outcome",
     "Phase",
     "Plan",
--- a/tests/readers.rs
+++ b/tests/readers.rs
@@ -153,7 +153,7 @@
         bytes.push(b'}');
         let sound = report::read(sound.to_string().as_bytes()).unwrap();
         let read = report::read(&bytes).unwrap();
-        prop_assert!(name == "born" || read.life == sound.life);
+        prop_assert!(name == "born" || read.incarnation == sound.incarnation);
         prop_assert!(name == "state" || read.leaving == sound.leaving);
         prop_assert!(name == "num_running" || read.load == sound.load);
     }
@@ -288,7 +288,7 @@
 #[test]
 fn handle_of_a_move_is_read_beside_a_life_that_cannot_be() {
     let answer = moves::read(b"{\"handle\":7,\"made\":\"\xff\",\"born\":\"late\"}");
-    assert_eq!((answer.handle.as_deref(), answer.life), (Some("7"), Incarnation(0)));
+    assert_eq!((answer.handle.as_deref(), answer.incarnation), (Some("7"), Incarnation(0)));
 }
 
 #[test]
--- a/tests/server_lives.rs
+++ b/tests/server_lives.rs
@@ -11,7 +11,7 @@
 use emberturn::decide::lives::{DoubtQueue, Heard, LIST_LAG, Life, Moment, Speaker};
 use emberturn::decide::loads::{LoadPool, LoadSample};
 use emberturn::ids::{BackendId, Incarnation, ServerKey, ServiceName, Term};
-use emberturn::relay::call::{Load, Report};
+use emberturn::relay::call::{ServerLoad, ServerReport};
 use emberturn::relay::known::Known;
 use emberturn::relay::list::{
     ContentHash, IncarnationReport, ListIndex, ListPart, ListVersion, ListedServer, Server,
@@ -76,9 +76,9 @@
     book.find(&server(false).id).unwrap()
 }
 
-fn report(life: Incarnation, running: u32, leaving: bool) -> Report {
-    let load = Some(Load { running, waiting: 0 });
-    Report { life, load, leaving: Some(leaving), left: None }
+fn report(life: Incarnation, running: u32, leaving: bool) -> ServerReport {
+    let load = Some(ServerLoad { running, waiting: 0 });
+    ServerReport { incarnation: life, load, leaving: Some(leaving), time_left: None }
 }
 
 /// A word of a server that reaches a box.
