--- a/src/control/heartbeat.rs
+++ b/src/control/heartbeat.rs
@@ -137,7 +137,7 @@
         lost = !heard;
         let listed = relay.servers.index_print().is_some();
         failed = if heard && listed { 0 } else { failed + 1 };
-        let pause = match (failed > 0, relay.releases().is_soon()) {
+        let pause = match (failed > 0, relay.releases().should_report_often()) {
             (true, _) => retry_delay(relay.relay_count(), failed - 1),
             (false, true) => SOON_TIME,
             (false, false) => relay.heartbeat_interval(),
@@ -177,7 +177,7 @@
         samples: relay.engines().take_samples(),
         models: told.models,
         demand: std::mem::take(&mut report.teams),
-        trials: relay.releases().tell(Instant::now()),
+        trials: relay.releases().build_reports(Instant::now()),
         loads: relay.loads().take(Instant::now()),
         lives: relay.servers.unreported_incarnations(),
         quarantine: relay.quarantine().tell(Instant::now()),
@@ -189,7 +189,7 @@
         Ok(reply) => {
             relay.set_heartbeat_interval(reply.interval.duration());
             relay.allowances().apply_grants(&report, &reply.allowed, clock::now());
-            relay.releases().hear(reply.releases);
+            relay.releases().apply_updates(reply.releases);
             if let Some(word) = reply.engines {
                 told.models = Some(word.print);
                 relay.engines().take(word.models);
--- a/src/control/rollouts.rs
+++ b/src/control/rollouts.rs
@@ -9,8 +9,8 @@
 use super::duties::SETTLE_TIME;
 use super::publish::{self, is_complete, no_group, other_answer, unacknowledged};
 use crate::decide::exposure::ExposureLimit;
-use crate::decide::releases::{ReleaseUpdate, TrialAllowed, TrialReport};
-use crate::decide::rollout::{Facts, Led, next_step};
+use crate::decide::releases::{ReleaseUpdate, TrialGrant, TrialReport};
+use crate::decide::rollout::{RolloutStatus, RolloutTracker, next_step};
 use crate::error::{Failure, Kind};
 use crate::ids::{BoxId, Incarnation, Release, ServiceName, Term};
 use crate::node::Node;
@@ -111,13 +111,13 @@
 pub(super) struct Rollouts {
     /// What the group knows; `None` until this leader is sure to have it.
     book: Option<Arc<RolloutBook>>,
-    led: BTreeMap<ServiceName, Led>,
+    led: BTreeMap<ServiceName, RolloutTracker>,
 }
 
 impl Rollouts {
     /// Takes what the group knows.
     fn take(&mut self, book: Arc<RolloutBook>) {
-        let is_running = |service: &ServiceName, led: &mut Led| {
+        let is_running = |service: &ServiceName, led: &mut RolloutTracker| {
             let rollout = book.rollouts.get(service);
             rollout.is_some_and(|it| it.ordered == led.ordered() && !it.phase.is_over())
         };
@@ -166,12 +166,15 @@
             let service = &rollout.order.service;
             let word = words.get(service).filter(|word| word.ordered == rollout.ordered);
             let permits = word.map_or(0, |word| self.grant(now, key, rollout, word));
-            let trial = TrialAllowed {
+            let trial = TrialGrant {
                 ordered: rollout.ordered,
                 release: rollout.order.release.clone(),
-                whole: rollout.phase == Phase::Shift,
+                all_traffic: rollout.phase == Phase::Shift,
                 permits,
-                soon: self.led.get(service).is_some_and(Led::is_soon),
+                report_often: self
+                    .led
+                    .get(service)
+                    .is_some_and(RolloutTracker::should_report_often),
             };
             answers.entry(service.clone()).or_default().trial = Some(trial);
         }
@@ -186,9 +189,11 @@
         rollout: &Rollout,
         word: &TrialReport,
     ) -> u64 {
-        let led =
-            self.led.entry(rollout.order.service.clone()).or_insert_with(|| Led::new(rollout));
-        led.hear(now, key.clone(), word, rollout, rand::random())
+        let led = self
+            .led
+            .entry(rollout.order.service.clone())
+            .or_insert_with(|| RolloutTracker::new(rollout));
+        led.record_report(now, key.clone(), word, rollout, rand::random())
     }
 
     /// The step that is due, and what it goes by; `is_ready` says of which releases servers are there.
@@ -198,7 +203,7 @@
         at: u64,
         limit: ExposureLimit,
         is_ready: impl Fn(&RolloutOrder) -> bool,
-    ) -> Option<(RolloutStep, Facts)> {
+    ) -> Option<(RolloutStep, RolloutStatus)> {
         let book = self.book.clone()?;
         book.running().find_map(|rollout| {
             let passed = at.saturating_sub(rollout.ordered) as f64 / 1_000.0;
@@ -262,7 +267,7 @@
         let (step, facts) = lead.rollouts.next(now, UnixMillis::now().0, limit, is_ready)?;
         tracing::info!(
             event = "rollout_step", service = %step.service, phase = %step.phase, exposed = step.exposed,
-            passed = facts.passed, came = facts.came, verdict = ?facts.verdict, term = %term,
+            passed = facts.elapsed, came = facts.requests, verdict = ?facts.verdict, term = %term,
         );
         Some(Command::StepRollout(step))
     })
--- a/src/decide/releases.rs
+++ b/src/decide/releases.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::exposure::{PermitWord, Permits};
-use super::verdict::{Pace, Pair, Tally, Verdict, judge};
+use super::verdict::{AnswerStats, RelativeLatency, RouteComparison, Verdict, evaluate};
 use crate::ids::{Release, ServiceName};
 
 /// What a box tells the leader of a service that has a roll-out.
@@ -17,11 +17,12 @@
     /// When the roll-out was ordered, which tells it from others.
     pub ordered: u64,
     /// Requests that came since the box knows of it.
-    pub came: u64,
+    #[serde(rename = "came")]
+    pub requests: u64,
     /// Its permits.
     pub permits: PermitWord,
     /// The answers of each route.
-    pub routes: BTreeMap<String, Pair>,
+    pub routes: BTreeMap<String, RouteComparison>,
 }
 
 /// What the leader tells a box of a service's releases.
@@ -30,34 +31,36 @@
     /// The release in force; none while nobody knows which one ran before the first order.
     pub in_force: Option<Release>,
     /// The release that is being tried.
-    pub trial: Option<TrialAllowed>,
+    pub trial: Option<TrialGrant>,
 }
 
 /// How far a box may try a release.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct TrialAllowed {
+pub struct TrialGrant {
     /// When the roll-out was ordered.
     pub ordered: u64,
     /// The release.
     pub release: Release,
     /// Whether all requests go to it.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub all_traffic: bool,
     /// Requests that may go to it, if not all.
     pub permits: u64,
     /// Whether boxes are to speak more often, as something is about to change.
-    pub soon: bool,
+    #[serde(rename = "soon")]
+    pub report_often: bool,
 }
 
 /// Where a request goes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Choice {
+pub struct ReleaseChoice {
     /// To servers of this release only; any may take it where nothing is known.
     pub release: Option<Release>,
     /// Whether it took a permit.
-    pub permit: bool,
+    pub uses_permit: bool,
 }
 
-impl Choice {
+impl ReleaseChoice {
     /// Whether a server of `release` takes the request.
     pub fn takes(&self, release: &Release) -> bool {
         self.release.as_ref().is_none_or(|it| it == release)
@@ -66,28 +69,28 @@
 
 /// How a server answered.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Outcome {
+pub enum AnswerOutcome {
     /// It failed, or broke off.
     Failed,
     /// It answered at this pace.
-    Answered(Pace),
+    Answered(RelativeLatency),
 }
 
 #[derive(Debug, Default)]
 struct Trial {
     ordered: u64,
     release: Option<Release>,
-    whole: bool,
-    soon: bool,
+    all_traffic: bool,
+    report_often: bool,
     permits: Permits,
-    came: u64,
-    routes: BTreeMap<String, Pair>,
+    requests: u64,
+    routes: BTreeMap<String, RouteComparison>,
     /// Whether this box has seen by itself that the release is bad.
     stopped: bool,
 }
 
 #[derive(Debug, Default)]
-struct Standing {
+struct ServiceReleases {
     in_force: Option<Release>,
     trial: Option<Trial>,
 }
@@ -95,25 +98,25 @@
 /// The releases of all services, as far as the leader told.
 #[derive(Debug, Default)]
 pub struct ReleaseTable {
-    services: BTreeMap<ServiceName, Standing>,
+    services: BTreeMap<ServiceName, ServiceReleases>,
 }
 
 impl ReleaseTable {
     /// Where a request for a service goes. The first send of a request counts as one that came.
-    pub fn choose(&mut self, service: &ServiceName, is_first: bool, now: Instant) -> Choice {
-        let Some(standing) = self.services.get_mut(service) else {
-            return Choice::default();
+    pub fn choose(&mut self, service: &ServiceName, is_first: bool, now: Instant) -> ReleaseChoice {
+        let Some(releases) = self.services.get_mut(service) else {
+            return ReleaseChoice::default();
         };
-        let former = Choice { release: standing.in_force.clone(), permit: false };
-        let Some(trial) = &mut standing.trial else {
+        let former = ReleaseChoice { release: releases.in_force.clone(), uses_permit: false };
+        let Some(trial) = &mut releases.trial else {
             return former;
         };
-        trial.came += u64::from(is_first);
+        trial.requests += u64::from(is_first);
         if trial.stopped || !trial.permits.is_heard(now) {
             return former;
         }
-        let new = |permit| Choice { release: trial.release.clone(), permit };
-        match trial.whole {
+        let new = |uses_permit| ReleaseChoice { release: trial.release.clone(), uses_permit };
+        match trial.all_traffic {
             true => new(false),
             false if trial.permits.take(now) => new(true),
             false => former,
@@ -121,46 +124,46 @@
     }
 
     /// The choice for a request that no server of the release it was to try takes.
-    pub fn fall_back(&mut self, service: &ServiceName, choice: &Choice) -> Choice {
-        let Some(standing) = self.services.get_mut(service) else {
-            return Choice::default();
+    pub fn fall_back(&mut self, service: &ServiceName, choice: &ReleaseChoice) -> ReleaseChoice {
+        let Some(releases) = self.services.get_mut(service) else {
+            return ReleaseChoice::default();
         };
-        if let Some(trial) = standing.trial.as_mut().filter(|_| choice.permit) {
+        if let Some(trial) = releases.trial.as_mut().filter(|_| choice.uses_permit) {
             trial.permits.give_back();
         }
-        Choice { release: standing.in_force.clone(), permit: false }
+        ReleaseChoice { release: releases.in_force.clone(), uses_permit: false }
     }
 
     /// Notes how a server answered a request of a route; `true` if the box stops trying its release.
-    pub fn note(
+    pub fn record_outcome(
         &mut self,
         service: &ServiceName,
         release: &Release,
         route: &str,
-        outcome: Outcome,
+        outcome: AnswerOutcome,
     ) -> bool {
-        let standing = self.services.get_mut(service);
-        let Some((standing, trial)) =
-            standing.and_then(|it| Some((&it.in_force, it.trial.as_mut()?)))
+        let releases = self.services.get_mut(service);
+        let Some((in_force, trial)) =
+            releases.and_then(|it| Some((&it.in_force, it.trial.as_mut()?)))
         else {
             return false;
         };
         if !trial.routes.contains_key(route) {
-            trial.routes.insert(route.to_owned(), Pair::default());
+            trial.routes.insert(route.to_owned(), RouteComparison::default());
         }
-        let Some(pair) = trial.routes.get_mut(route) else {
+        let Some(comparison) = trial.routes.get_mut(route) else {
             return false;
         };
-        let tally: &mut Tally = match () {
-            () if trial.release.as_ref() == Some(release) => &mut pair.new,
-            () if standing.as_ref().is_none_or(|it| it == release) => &mut pair.former,
+        let stats: &mut AnswerStats = match () {
+            () if trial.release.as_ref() == Some(release) => &mut comparison.new,
+            () if in_force.as_ref().is_none_or(|it| it == release) => &mut comparison.former,
             () => return false,
         };
         match outcome {
-            Outcome::Failed => tally.fail(),
-            Outcome::Answered(pace) => tally.succeed(pace),
+            AnswerOutcome::Failed => stats.record_failure(),
+            AnswerOutcome::Answered(latency) => stats.record_success(latency),
         }
-        if !trial.stopped && matches!(judge(trial.routes.values()), Verdict::Bad(_)) {
+        if !trial.stopped && matches!(evaluate(trial.routes.values()), Verdict::Bad(_)) {
             trial.stopped = true;
             trial.permits.drop_all();
             return true;
@@ -169,50 +172,50 @@
     }
 
     /// What to tell the leader.
-    pub fn tell(&mut self, now: Instant) -> BTreeMap<ServiceName, TrialReport> {
+    pub fn build_reports(&mut self, now: Instant) -> BTreeMap<ServiceName, TrialReport> {
         let trials = self
             .services
             .iter_mut()
             .filter_map(|(service, it)| Some((service, it.trial.as_mut()?)));
-        let words = trials.map(|(service, trial)| {
-            let word = TrialReport {
+        let reports = trials.map(|(service, trial)| {
+            let report = TrialReport {
                 ordered: trial.ordered,
-                came: trial.came,
+                requests: trial.requests,
                 permits: trial.permits.tell(now),
                 routes: trial.routes.clone(),
             };
-            (service.clone(), word)
+            (service.clone(), report)
         });
-        words.collect()
+        reports.collect()
     }
 
     /// Takes the leader's answer to what was told. One that does not know yet says nothing, and what the box
     /// knows stands: what is in force changes only by word of it.
-    pub fn hear(&mut self, words: Option<BTreeMap<ServiceName, ReleaseUpdate>>) {
-        for (service, word) in words.into_iter().flatten() {
-            let standing = self.services.entry(service).or_default();
-            standing.in_force = word.in_force.or(standing.in_force.take());
-            let Some(allowed) = word.trial else {
-                standing.trial = None;
+    pub fn apply_updates(&mut self, updates: Option<BTreeMap<ServiceName, ReleaseUpdate>>) {
+        for (service, update) in updates.into_iter().flatten() {
+            let releases = self.services.entry(service).or_default();
+            releases.in_force = update.in_force.or(releases.in_force.take());
+            let Some(grant) = update.trial else {
+                releases.trial = None;
                 continue;
             };
-            let held = standing.trial.take().filter(|trial| trial.ordered == allowed.ordered);
+            let held = releases.trial.take().filter(|trial| trial.ordered == grant.ordered);
             // The first word of a roll-out begins the count; permits come with the answer to the next one.
             let is_new = held.is_none();
             let mut trial = held.unwrap_or_default();
-            trial.ordered = allowed.ordered;
-            trial.release = Some(allowed.release);
-            trial.whole = allowed.whole;
-            trial.soon = allowed.soon;
+            trial.ordered = grant.ordered;
+            trial.release = Some(grant.release);
+            trial.all_traffic = grant.all_traffic;
+            trial.report_often = grant.report_often;
             if !is_new {
-                trial.permits.hear(allowed.permits);
+                trial.permits.hear(grant.permits);
             }
-            standing.trial = Some(trial);
+            releases.trial = Some(trial);
         }
     }
 
     /// Whether a roll-out is about to change, as the leader last said.
-    pub fn is_soon(&self) -> bool {
-        self.services.values().filter_map(|it| it.trial.as_ref()).any(|trial| trial.soon)
+    pub fn should_report_often(&self) -> bool {
+        self.services.values().filter_map(|it| it.trial.as_ref()).any(|trial| trial.report_often)
     }
 }
--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -16,7 +16,7 @@
 use crate::backend::{Exchange, Reuse, SendFault};
 use crate::clock;
 use crate::decide::budget::RetryLimit;
-use crate::decide::releases::Outcome;
+use crate::decide::releases::AnswerOutcome;
 use crate::decide::throttle::{LimitChange, LimitNotice};
 use crate::error::Kind;
 
@@ -164,7 +164,7 @@
                 ends::record_end(relay, known);
             }
             if !fault.is_not_sent() {
-                relay.record_outcome(known, &route.name, Outcome::Failed);
+                relay.record_outcome(known, &route.name, AnswerOutcome::Failed);
             }
             return Err(SendFailure::of_fault(fault));
         }
@@ -232,7 +232,7 @@
 fn record_failed_answer(relay: &Relay, known: &Known, route: &Route) {
     record_failure(relay, known);
     known.state.fail_route(&route.name);
-    relay.record_outcome(known, &route.name, Outcome::Failed);
+    relay.record_outcome(known, &route.name, AnswerOutcome::Failed);
 }
 
 /// Notes that a send or a stream broke off. Silence alone is what load does as well: reports asked for it
--- a/src/relay/attempts.rs
+++ b/src/relay/attempts.rs
@@ -14,7 +14,7 @@
 use super::restraint::{self, Restraints};
 use super::table::Route;
 use crate::decide::choose::has_room;
-use crate::decide::releases::Choice;
+use crate::decide::releases::ReleaseChoice;
 use crate::decide::topology::Reach;
 use crate::error::{Failure, Kind};
 use crate::ids::{BackendId, ServiceName};
@@ -60,7 +60,7 @@
     /// How far it is.
     reach: Reach,
     /// Which release the next send goes to.
-    choice: Choice,
+    choice: ReleaseChoice,
 }
 
 /// What a server has to read of a prompt, as far as this box knows.
@@ -90,7 +90,7 @@
             prefix_source: None,
             reading: Reading::default(),
             reach: Reach::Local,
-            choice: Choice::default(),
+            choice: ReleaseChoice::default(),
         }
     }
 
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -76,7 +76,7 @@
 use crate::decide::pause::Pauses;
 use crate::decide::presence::RELAYS_GUESSED;
 use crate::decide::quarantine::BoxQuarantine;
-use crate::decide::releases::{Outcome, ReleaseTable};
+use crate::decide::releases::{AnswerOutcome, ReleaseTable};
 use crate::decide::spill::SpillTracker;
 use crate::decide::throttle::Throttles;
 use crate::decide::topology::Topology;
@@ -332,9 +332,10 @@
 
     /// Notes how a server answered a request of a route, for the judgement of its release. A box that finds
     /// the release bad by what it has seen itself says so at once.
-    pub fn record_outcome(&self, known: &Known, route: &str, outcome: Outcome) {
+    pub fn record_outcome(&self, known: &Known, route: &str, outcome: AnswerOutcome) {
         let server = &known.server;
-        let stops = self.releases().note(&server.service, &server.release, route, outcome);
+        let stops =
+            self.releases().record_outcome(&server.service, &server.release, route, outcome);
         if stops {
             tracing::warn!(
                 event = "release_stopped", service = %server.service, release = %server.release, route,
--- a/src/relay/pick.rs
+++ b/src/relay/pick.rs
@@ -18,7 +18,7 @@
 use crate::decide::distance::{Copying, Distance, fetch_saves, kilobytes};
 use crate::decide::engine::EngineModel;
 use crate::decide::filling::{Filling, have_room};
-use crate::decide::releases::Choice;
+use crate::decide::releases::ReleaseChoice;
 use crate::decide::topology::Reach;
 use crate::ids::{BackendId, ServiceName};
 
@@ -47,7 +47,7 @@
     pub(super) engine: Option<EngineSpec>,
     pub(super) model: EngineModel,
     /// Which release the send goes to.
-    pub(super) choice: &'a Choice,
+    pub(super) choice: &'a ReleaseChoice,
     /// The servers that had the call before.
     pub(super) tried: &'a [BackendId],
     /// What servers asked of this box.
--- a/src/relay/plain.rs
+++ b/src/relay/plain.rs
@@ -20,8 +20,8 @@
 use crate::backend::SendFault;
 use crate::decide::engine::Observation;
 use crate::decide::memory::{Claim, Purpose, Reserved};
-use crate::decide::releases::Outcome;
-use crate::decide::verdict::Pace;
+use crate::decide::releases::AnswerOutcome;
+use crate::decide::verdict::RelativeLatency;
 use crate::error::{Failure, Kind};
 use crate::http::Body;
 use crate::http::charged::guarded;
@@ -185,7 +185,11 @@
         relay.engines().note(&known.server.service, seen);
         known.state.succeed_route(&route.name);
         let part = seconds / route.objective.as_secs_f64();
-        relay.record_outcome(known, &route.name, Outcome::Answered(Pace { factor: seconds, part }));
+        relay.record_outcome(
+            known,
+            &route.name,
+            AnswerOutcome::Answered(RelativeLatency { to_expected: seconds, to_allowed: part }),
+        );
     }
     if let Some(team) = &call.team {
         relay.usage().count(team, SystemTime::now());
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -24,8 +24,8 @@
 use super::taking;
 use crate::backend::{Exchange, SendFault};
 use crate::decide::engine::Observation;
-use crate::decide::releases::Outcome;
-use crate::decide::verdict::Pace;
+use crate::decide::releases::AnswerOutcome;
+use crate::decide::verdict::RelativeLatency;
 use crate::error::{Failure, Kind};
 use crate::http::{Body, whole};
 use crate::ids::ServiceName;
@@ -407,11 +407,11 @@
                     known.state.succeed(seconds_since(source.began));
                     known.state.succeed_route(&route.name);
                     let seconds = seconds_since(source.began);
-                    let pace = Pace {
-                        factor: seconds / expected_time(&relay, &attempts, &progress),
-                        part: seconds / allowed_time(&route, &progress),
+                    let pace = RelativeLatency {
+                        to_expected: seconds / expected_time(&relay, &attempts, &progress),
+                        to_allowed: seconds / allowed_time(&route, &progress),
                     };
-                    relay.record_outcome(known, &route.name, Outcome::Answered(pace));
+                    relay.record_outcome(known, &route.name, AnswerOutcome::Answered(pace));
                     break;
                 }
                 Err(fault) => fault,
@@ -510,7 +510,7 @@
     if matches!(fault, SendFault::Broke(_)) {
         relay.ends.record_break(known, call.fingerprint());
     }
-    relay.record_outcome(known, &route.name, Outcome::Failed);
+    relay.record_outcome(known, &route.name, AnswerOutcome::Failed);
     tracing::info!(
         event = "stream_broke", id = call.head.id, request = %call.fingerprint(), route = route.name,
         backend_server = %known.server.id, detail = %fault, last = progress.last,
--- a/tests/names.rs
+++ b/tests/names.rs
@@ -14,7 +14,7 @@
 const DONE: [&str; 3] = ["src/control", "src/decide", "src/relay"];
 
 /// Type names that still stand for two things, each to go.
-const DOUBLED: [&str; 22] = [
+const DOUBLED: [&str; 21] = [
     "Action",
     "Arguments",
     "Call",
@@ -22,7 +22,6 @@
     "Claim",
     "Command",
     "End",
-    "Facts",
     "Heard",
     "Limits",
     "Load",
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -4,9 +4,9 @@
 use std::time::{Duration, Instant};
 
 use emberturn::decide::exposure::{Exposure, ExposureLimit, PERMIT_TIME, Permits};
-use emberturn::decide::releases::{Outcome, ReleaseTable, ReleaseUpdate, TrialAllowed};
-use emberturn::decide::rollout::{Led, next_step};
-use emberturn::decide::verdict::{Pace, Pair, Verdict, judge};
+use emberturn::decide::releases::{AnswerOutcome, ReleaseTable, ReleaseUpdate, TrialGrant};
+use emberturn::decide::rollout::{RolloutTracker, next_step};
+use emberturn::decide::verdict::{RelativeLatency, RouteComparison, Verdict, evaluate};
 use emberturn::ids::{BoxId, Incarnation, Release, ServiceName};
 use emberturn::state::rollout::{OrderReply, Phase, Rollout, RolloutBook, RolloutOrder};
 use emberturn::units::Millis;
@@ -179,7 +179,7 @@
     let now = Instant::now();
     assert!(book.choose(&service(), true, now).takes(&release("v9")), "nothing is known yet");
     let word = ReleaseUpdate { in_force: Some(release("v1")), trial: None };
-    book.hear(Some(BTreeMap::from([(service(), word)])));
+    book.apply_updates(Some(BTreeMap::from([(service(), word)])));
     let choice = book.choose(&service(), true, now);
     assert!(choice.takes(&release("v1")) && !choice.takes(&release("v9")));
 }
@@ -188,9 +188,9 @@
 fn box_keeps_what_it_knows_while_a_new_leader_knows_nothing_yet() {
     let mut book = ReleaseTable::default();
     let word = ReleaseUpdate { in_force: Some(release("v1")), trial: None };
-    book.hear(Some(BTreeMap::from([(service(), word)])));
+    book.apply_updates(Some(BTreeMap::from([(service(), word)])));
     for unknown in [None, Some(BTreeMap::new())] {
-        book.hear(unknown);
+        book.apply_updates(unknown);
         let choice = book.choose(&service(), true, Instant::now());
         assert!(choice.takes(&release("v1")) && !choice.takes(&release("v9")));
     }
@@ -218,7 +218,7 @@
 }
 
 /// The leader's word of a trial.
-fn words(trial: TrialAllowed) -> BTreeMap<ServiceName, ReleaseUpdate> {
+fn words(trial: TrialGrant) -> BTreeMap<ServiceName, ReleaseUpdate> {
     let word = ReleaseUpdate { in_force: Some(release("v1")), trial: Some(trial) };
     BTreeMap::from([(service(), word)])
 }
@@ -227,16 +227,21 @@
 fn trying(words: &BTreeMap<ServiceName, ReleaseUpdate>, now: Instant) -> ReleaseTable {
     let mut book = ReleaseTable::default();
     for _ in 0..2 {
-        book.tell(now);
-        book.hear(Some(words.clone()));
+        book.build_reports(now);
+        book.apply_updates(Some(words.clone()));
     }
     book
 }
 
 #[test]
 fn box_without_word_falls_back_to_the_former_release() {
-    let trial =
-        TrialAllowed { ordered: 1, release: release("v2"), whole: true, permits: 0, soon: false };
+    let trial = TrialGrant {
+        ordered: 1,
+        release: release("v2"),
+        all_traffic: true,
+        permits: 0,
+        report_often: false,
+    };
     let now = Instant::now();
     let words = words(trial);
     let mut book = trying(&words, now);
@@ -247,26 +252,26 @@
 
 #[test]
 fn box_stops_by_itself_on_bad_answers() {
-    let trial = TrialAllowed {
+    let trial = TrialGrant {
         ordered: 1,
         release: release("v2"),
-        whole: false,
+        all_traffic: false,
         permits: 100,
-        soon: false,
+        report_often: false,
     };
     let now = Instant::now();
     let words = words(trial);
     let mut book = trying(&words, now);
     let mut tried = 0;
-    while book.choose(&service(), true, now).permit {
+    while book.choose(&service(), true, now).uses_permit {
         tried += 1;
-        book.note(&service(), &release("v2"), "r", Outcome::Failed);
+        book.record_outcome(&service(), &release("v2"), "r", AnswerOutcome::Failed);
         assert!(tried < 10, "ten bad answers and it goes on");
     }
     // It stays so when the leader's next word allows more.
-    book.tell(now);
-    book.hear(Some(words.clone()));
-    assert!(!book.choose(&service(), true, now).permit);
+    book.build_reports(now);
+    book.apply_updates(Some(words.clone()));
+    assert!(!book.choose(&service(), true, now).uses_permit);
 }
 
 /// What a release that is tried is like.
@@ -317,7 +322,7 @@
     is_new: bool,
     route: usize,
     failed: bool,
-    pace: Pace,
+    pace: RelativeLatency,
 }
 
 /// Boxes, a leader and a service in virtual time.
@@ -336,7 +341,7 @@
 
 impl Play {
     /// A request's answer: whether it failed, and its pace.
-    fn answer(&mut self, is_new: bool, route: usize, now: f64) -> (bool, Pace) {
+    fn answer(&mut self, is_new: bool, route: usize, now: f64) -> (bool, RelativeLatency) {
         let drawn = self.rng.random::<f64>() + self.rng.random::<f64>() - 1.0;
         let noise = f64::exp(self.spread * drawn);
         let failing = match self.version {
@@ -351,14 +356,17 @@
             _ => 1.0,
         };
         let factor = noise * slow;
-        (self.rng.random::<f64>() < failing, Pace { factor, part: factor * self.part })
+        (
+            self.rng.random::<f64>() < failing,
+            RelativeLatency { to_expected: factor, to_allowed: factor * self.part },
+        )
     }
 
     fn play(&mut self, boxes: usize) -> Played {
         let base = Instant::now();
         let mut group = running("v1");
         let mut rollout = taken(group.order(0, &order("v2", (self.whole * 1_000.0) as u64)));
-        let mut led = Led::new(&rollout);
+        let mut led = RolloutTracker::new(&rollout);
         let mut books: Vec<_> = (0..boxes).map(|_| ReleaseTable::default()).collect();
         let (mut played, mut fiftieth) = (Played::default(), f64::INFINITY);
         // Answers come half a second after their requests.
@@ -374,12 +382,12 @@
                 pending.range(..=(now * 100.0) as u64).map(|it| *it.0).collect();
             for answer in due.iter().flat_map(|it| pending.remove(it).unwrap()) {
                 let outcome = match answer.failed {
-                    true => Outcome::Failed,
-                    false => Outcome::Answered(answer.pace),
+                    true => AnswerOutcome::Failed,
+                    false => AnswerOutcome::Answered(answer.pace),
                 };
                 let name = release(if answer.is_new { "v2" } else { "v1" });
                 let route = format!("r{}", answer.route);
-                books[answer.place].note(&service(), &name, &route, outcome);
+                books[answer.place].record_outcome(&service(), &name, &route, outcome);
             }
             while next < now && now < self.whole {
                 next += -f64::ln(1.0 - self.rng.random::<f64>()) / self.rate;
@@ -395,7 +403,7 @@
                 let (failed, pace) = self.answer(is_new, route, now);
                 if is_new {
                     played.exposed += 1;
-                    let is_bad = failed || pace.factor > 3.0;
+                    let is_bad = failed || pace.to_expected > 3.0;
                     played.bad += u64::from(is_bad);
                     played.too_late += u64::from(now > fiftieth + 5.0);
                     if played.bad == 50 {
@@ -410,22 +418,22 @@
             while (beat as f64) < now / 0.4 * boxes as f64 {
                 let place = beat % boxes;
                 beat += 1;
-                let words = books[place].tell(at);
+                let words = books[place].build_reports(at);
                 let key = (format!("b{place}").parse().unwrap(), Incarnation(1));
                 let random = self.rng.random();
                 let permits = words
                     .get(&service())
-                    .map_or(0, |word| led.hear(now, key, word, &rollout, random));
-                let trial = (!rollout.phase.is_over()).then(|| TrialAllowed {
+                    .map_or(0, |word| led.record_report(now, key, word, &rollout, random));
+                let trial = (!rollout.phase.is_over()).then(|| TrialGrant {
                     ordered: rollout.ordered,
                     release: release("v2"),
-                    whole: rollout.phase == Phase::Shift,
+                    all_traffic: rollout.phase == Phase::Shift,
                     permits,
-                    soon: led.is_soon(),
+                    report_often: led.should_report_often(),
                 });
                 let in_force = Some(group.in_force[&service()].clone());
                 let word = ReleaseUpdate { in_force, trial };
-                books[place].hear(Some(BTreeMap::from([(service(), word)])));
+                books[place].apply_updates(Some(BTreeMap::from([(service(), word)])));
             }
             if now >= look {
                 look = now + 0.1;
@@ -540,26 +548,26 @@
 
 #[test]
 fn trouble_of_the_day_speaks_against_no_release() {
-    let mut pair = Pair::default();
+    let mut pair = RouteComparison::default();
     for number in 0..200 {
         for tally in [&mut pair.new, &mut pair.former] {
             match number % 3 {
-                0 => tally.fail(),
-                _ => tally.succeed(Pace { factor: 4.0, part: 0.4 }),
+                0 => tally.record_failure(),
+                _ => tally.record_success(RelativeLatency { to_expected: 4.0, to_allowed: 0.4 }),
             }
         }
     }
-    assert_eq!(judge([pair].iter()), Verdict::Good);
+    assert_eq!(evaluate([pair].iter()), Verdict::Good);
 }
 
 /// An answer in the time expected of it, a tenth of what its route allows.
-const PACE: Pace = Pace { factor: 1.0, part: 0.1 };
+const PACE: RelativeLatency = RelativeLatency { to_expected: 1.0, to_allowed: 0.1 };
 
 #[test]
 fn without_evidence_nothing_is_good() {
-    assert_eq!(judge([].iter()), Verdict::Open);
-    let mut pair = Pair::default();
-    (0..500).for_each(|_| pair.former.succeed(PACE));
-    (0..4).for_each(|_| pair.new.succeed(PACE));
-    assert_eq!(judge([pair].iter()), Verdict::Open);
+    assert_eq!(evaluate([].iter()), Verdict::Open);
+    let mut pair = RouteComparison::default();
+    (0..500).for_each(|_| pair.former.record_success(PACE));
+    (0..4).for_each(|_| pair.new.record_success(PACE));
+    assert_eq!(evaluate([pair].iter()), Verdict::Open);
 }
