--- a/src/decide/releases.rs
+++ b/src/decide/releases.rs
@@ -1,6 +1,7 @@
-//! Which release of a service gets a request at a box, and what its answers were like.
+//! Chooses the release of a service for each request at a box, and records how its servers
+//! answered.
 //!
-//! The other half, at the leader, is [`super::rollout`].
+//! The leader's side is [`super::rollout`].
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -11,57 +12,57 @@
 use super::verdict::{AnswerStats, RelativeLatency, RouteComparison, Verdict, evaluate};
 use crate::ids::{Release, ServiceName};
 
-/// What a box tells the leader of a service that has a roll-out.
+/// A box's report to the leader on a service that has a roll-out.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TrialReport {
-    /// When the roll-out was ordered, which tells it from others.
+    /// When the roll-out was ordered, which identifies it among those of the service.
     pub ordered: u64,
-    /// Requests that came since the box knows of it.
+    /// Requests received since the box learned of the roll-out.
     #[serde(rename = "came")]
     pub requests: u64,
-    /// Its permits.
+    /// State of the box's permits.
     pub permits: PermitWord,
-    /// The answers of each route.
+    /// Answers on each route.
     pub routes: BTreeMap<String, RouteComparison>,
 }
 
-/// What the leader tells a box of a service's releases.
+/// What the leader tells a box about the releases of a service.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReleaseUpdate {
-    /// The release in force; none while nobody knows which one ran before the first order.
+    /// The release in force. `None` while it is unknown which release ran before the first order.
     pub in_force: Option<Release>,
-    /// The release that is being tried.
+    /// The release on trial, if any.
     pub trial: Option<TrialGrant>,
 }
 
-/// How far a box may try a release.
+/// To what extent a box may use a release on trial.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TrialGrant {
     /// When the roll-out was ordered.
     pub ordered: u64,
-    /// The release.
+    /// The release on trial.
     pub release: Release,
     /// Whether all requests go to it.
     #[serde(rename = "whole")]
     pub all_traffic: bool,
-    /// Requests that may go to it, if not all.
+    /// Number of requests that may go to it if not all do.
     pub permits: u64,
-    /// Whether boxes are to speak more often, as something is about to change.
+    /// Whether boxes are to report more often because a phase change is near.
     #[serde(rename = "soon")]
     pub report_often: bool,
 }
 
-/// Where a request goes.
+/// Which servers may take a request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ReleaseChoice {
-    /// To servers of this release only; any may take it where nothing is known.
+    /// Only servers of this release may take it. `None`: any server may, as no release is known.
     pub release: Option<Release>,
-    /// Whether it took a permit.
+    /// Whether the request uses up a permit.
     pub uses_permit: bool,
 }
 
 impl ReleaseChoice {
-    /// Whether a server of `release` takes the request.
+    /// Whether a server running `release` may take the request.
     pub fn takes(&self, release: &Release) -> bool {
         self.release.as_ref().is_none_or(|it| it == release)
     }
@@ -70,9 +71,9 @@
 /// How a server answered.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AnswerOutcome {
-    /// It failed, or broke off.
+    /// The request failed, or the answer broke off.
     Failed,
-    /// It answered at this pace.
+    /// The server answered with this latency.
     Answered(RelativeLatency),
 }
 
@@ -85,7 +86,7 @@
     permits: Permits,
     requests: u64,
     routes: BTreeMap<String, RouteComparison>,
-    /// Whether this box has seen by itself that the release is bad.
+    /// Whether this box itself has found the release to be bad.
     stopped: bool,
 }
 
@@ -95,14 +96,15 @@
     trial: Option<Trial>,
 }
 
-/// The releases of all services, as far as the leader told.
+/// The releases of all services, as far as the leader has announced them.
 #[derive(Debug, Default)]
 pub struct ReleaseTable {
     services: BTreeMap<ServiceName, ServiceReleases>,
 }
 
 impl ReleaseTable {
-    /// Where a request for a service goes. The first send of a request counts as one that came.
+    /// Chooses the release for a request. `is_first` marks the first attempt of a request: only
+    /// that counts as a request received.
     pub fn choose(&mut self, service: &ServiceName, is_first: bool, now: Instant) -> ReleaseChoice {
         let Some(releases) = self.services.get_mut(service) else {
             return ReleaseChoice::default();
@@ -123,7 +125,8 @@
         }
     }
 
-    /// The choice for a request that no server of the release it was to try takes.
+    /// Returns the choice for a request when no server of the release on trial can take it. A
+    /// permit that was used is returned.
     pub fn fall_back(&mut self, service: &ServiceName, choice: &ReleaseChoice) -> ReleaseChoice {
         let Some(releases) = self.services.get_mut(service) else {
             return ReleaseChoice::default();
@@ -134,7 +137,8 @@
         ReleaseChoice { release: releases.in_force.clone(), uses_permit: false }
     }
 
-    /// Notes how a server answered a request of a route; `true` if the box stops trying its release.
+    /// Records how a server answered a request on a route. Returns `true` if the box stops using
+    /// the release because of it.
     pub fn record_outcome(
         &mut self,
         service: &ServiceName,
@@ -171,7 +175,7 @@
         false
     }
 
-    /// What to tell the leader.
+    /// Builds the reports for the leader.
     pub fn build_reports(&mut self, now: Instant) -> BTreeMap<ServiceName, TrialReport> {
         let trials = self
             .services
@@ -189,8 +193,9 @@
         reports.collect()
     }
 
-    /// Takes the leader's answer to what was told. One that does not know yet says nothing, and what the box
-    /// knows stands: what is in force changes only by word of it.
+    /// Applies the leader's reply to a report. A leader that does not know the releases yet sends
+    /// `None`, and the box keeps what it knows: the release in force changes only when the leader
+    /// says so.
     pub fn apply_updates(&mut self, updates: Option<BTreeMap<ServiceName, ReleaseUpdate>>) {
         for (service, update) in updates.into_iter().flatten() {
             let releases = self.services.entry(service).or_default();
@@ -200,7 +205,8 @@
                 continue;
             };
             let held = releases.trial.take().filter(|trial| trial.ordered == grant.ordered);
-            // The first word of a roll-out begins the count; permits come with the answer to the next one.
+            // The first update of a roll-out starts the request count. Permits come with the reply
+            // to the next report.
             let is_new = held.is_none();
             let mut trial = held.unwrap_or_default();
             trial.ordered = grant.ordered;
@@ -214,7 +220,7 @@
         }
     }
 
-    /// Whether a roll-out is about to change, as the leader last said.
+    /// Whether a phase change is near in any roll-out, by the leader's last update.
     pub fn should_report_often(&self) -> bool {
         self.services.values().filter_map(|it| it.trial.as_ref()).any(|trial| trial.report_often)
     }
--- a/src/decide/rollout.rs
+++ b/src/decide/rollout.rs
@@ -1,10 +1,12 @@
-//! When a roll-out goes on, and when it goes back: the leader's half.
+//! Decides when a roll-out advances and when it is rolled back. This is the leader's side; the side
+//! of a box is [`super::releases`].
 //!
-//! A roll-out has a trial, in which a small part of the traffic goes to the new release by permits
-//! ([`super::exposure`]) and its answers are judged ([`super::verdict`]); a shift of all traffic, as late
-//! as the requests allowed make it; and its end. A release that turns out bad at any time before the
-//! deadline must not have got more than the part allowed, so the shift begins only when what is still to
-//! come fits in. Streams at former servers have the time from the shift to the end to finish.
+//! A roll-out begins with a trial: a small share of the traffic goes to the new release, limited by
+//! permits ([`super::exposure`]), and its answers are evaluated ([`super::verdict`]). Then all
+//! traffic shifts to the new release, and finally the roll-out is completed. A release that turns
+//! out bad before the deadline must not have received more than the allowed share of requests, so
+//! the shift starts as late as this limit requires: only once the traffic still expected fits in.
+//! Streams on servers of the former release have the time between shift and completion to finish.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,58 +16,61 @@
 use crate::ids::{BoxId, Incarnation};
 use crate::state::rollout::{Phase, Rollout, RolloutStep};
 
-/// Seconds before the deadline at which a roll-out is completed: a look of the leader, and the group's
-/// acknowledgement beside other work. Whoever asks at the deadline is told the end.
+/// Seconds before the deadline at which a roll-out is completed. Covers one check by the leader and
+/// the group's acknowledgement under load, so that a query at the deadline returns the final state.
 const COMPLETION_LEAD_TIME: f64 = 0.3;
 
-/// Seconds in which all boxes hear of the shift: those that have not go on at the former servers, which are
-/// gone once the roll-out is completed.
+/// Seconds within which all boxes learn of the shift. Boxes that have not learned of it still send
+/// to servers of the former release, which are gone once the roll-out is completed.
 const PROPAGATION_TIME: f64 = 0.4;
 
-/// Seconds before the deadline from which boxes are to speak more often: they hear of the shift and of the
-/// end sooner, for a few words more.
+/// Seconds before the deadline from which boxes report more often. They then learn of the shift and
+/// the completion sooner, at the cost of a few more messages.
 const FREQUENT_REPORT_TIME: f64 = 2.5;
 
-/// The part of the whole time that the end takes at most, where that is short.
+/// Upper bound on the time reserved for completion, as a share of the roll-out's duration. Applies
+/// to short roll-outs.
 const MAX_COMPLETION_SHARE: f64 = 0.25;
 
-/// The part of the whole time at most for which all traffic is at the new release before the end: in
-/// the part before, its answers can be held against the former one's.
+/// Upper bound on the time between shift and deadline, as a share of the roll-out's duration.
+/// Before the shift, the answers of the new release can be compared with those of the former one.
 const MAX_SHIFT_SHARE: f64 = 0.5;
 
-/// The part of a trial's requests that it may send at once.
+/// Share of the trial's requests that may be sent right at the start.
 const INITIAL_TRIAL_SHARE: f64 = 0.1;
 
-/// Seconds after the order before which the rate of requests is not taken from what came.
+/// Minimum time in seconds over which a request rate is computed.
 const MIN_RATE_WINDOW: f64 = 0.5;
 
-/// The part of a box's requests that it tries at most: the others are what they are held against.
+/// Upper bound on the share of a box's requests that go to the new release during the trial. The
+/// others are needed for comparison.
 const MAX_BOX_TRIAL_SHARE: f64 = 0.5;
 
-/// Seconds of a box's traffic that an answer grants permits for: a beat, and half as much for late ones.
+/// Seconds of a box's traffic that the permits in one reply cover: one heartbeat interval, and half
+/// of one in reserve for late heartbeats.
 const PERMIT_GRANT_TIME: f64 = 0.6;
 
-/// What is known of a roll-out at some moment.
+/// The state of a roll-out at one point in time.
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutStatus {
-    /// Its phase.
+    /// Current phase.
     pub phase: Phase,
     /// Seconds since the order.
     pub elapsed: f64,
-    /// Seconds that it may take.
+    /// Seconds between the order and the deadline.
     pub duration: f64,
-    /// Requests of the service that came since the order.
+    /// Requests for the service since the order.
     pub requests: u64,
-    /// Requests that may have gone to the new release.
+    /// Requests that may have been sent to the new release.
     pub exposed: u64,
-    /// Whether servers of the new release are there to take all traffic.
+    /// Whether there are servers of the new release to take all traffic.
     pub ready: bool,
-    /// What the answers say.
+    /// Evaluation of the answers so far.
     pub verdict: Verdict,
 }
 
 impl RolloutStatus {
-    /// The phase that a roll-out goes to now, if any.
+    /// Returns the phase that the roll-out enters now, if it is to change.
     pub fn next_phase(&self, limit: ExposureLimit) -> Option<Phase> {
         let left = self.duration - self.elapsed;
         let end = COMPLETION_LEAD_TIME.min(self.duration * MAX_COMPLETION_SHARE);
@@ -80,54 +85,55 @@
                 let lead = lead.max(end + PROPAGATION_TIME).min(time(1.0));
                 (self.ready && left <= lead).then_some(Phase::Shift)
             }
-            // It has all traffic by now: what speaks against it in the last seconds counts.
+            // All traffic is at the new release by now, and failures in the last seconds still
+            // count.
             (Phase::Shift, Verdict::Good) => (left <= end).then_some(Phase::Completed),
             _ => None,
         }
     }
 
-    /// Whether the shift or the end is near.
+    /// Whether the shift or the completion is near.
     fn is_change_near(&self) -> bool {
         self.duration - self.elapsed < FREQUENT_REPORT_TIME
     }
 
-    /// Requests that will have come at the deadline, as things stand.
+    /// Extrapolates the number of requests to the deadline.
     fn expected(&self) -> u64 {
         (self.requests as f64 * (self.duration / self.elapsed.max(MIN_RATE_WINDOW)).max(1.0)) as u64
     }
 }
 
-/// What a box told last, and when.
+/// The last report of a box and when it was received.
 #[derive(Debug, Default)]
 struct BoxReport {
     report: TrialReport,
     received_at: f64,
-    /// Requests a second at the box.
+    /// Requests per second at the box.
     rate: f64,
 }
 
-/// The answers of all boxes by route.
+/// Answers of all boxes by route.
 type RouteStats = BTreeMap<String, RouteComparison>;
 
-/// A roll-out at its leader: what boxes told of it, and what they were granted.
+/// A roll-out as its leader tracks it: the reports of boxes and the permits granted to them.
 #[derive(Debug)]
 pub struct RolloutTracker {
     ordered: u64,
     exposure: Exposure,
     reports: BTreeMap<(BoxId, Incarnation), BoxReport>,
-    /// Requests that came, over all words, and when the first word did.
+    /// Requests over all reports, and the time of the first report.
     requests: u64,
     first_report_at: Option<f64>,
     /// Requests that the trial may have sent by now.
     allowed_requests: u64,
-    /// Whether the shift or the end is near.
+    /// Whether the shift or the completion is near, so that boxes are to report more often.
     report_often: bool,
-    /// What all had answered at some moments of late, the latest last.
+    /// Sums of all answers at several points in the recent past, the latest last.
     snapshots: VecDeque<(f64, RouteStats)>,
 }
 
 impl RolloutTracker {
-    /// A roll-out whose leader has heard nothing yet.
+    /// Starts tracking a roll-out before any report was received.
     pub fn new(rollout: &Rollout) -> Self {
         Self {
             ordered: rollout.ordered,
@@ -141,23 +147,24 @@
         }
     }
 
-    /// When it was ordered, which tells it from others.
+    /// When the roll-out was ordered, which identifies it among those of its service.
     pub fn ordered(&self) -> u64 {
         self.ordered
     }
 
-    /// Whether boxes are to speak more often.
+    /// Whether boxes are to report more often.
     pub fn should_report_often(&self) -> bool {
         self.report_often
     }
 
-    /// Requests a second, by what boxes told up to `now`.
+    /// Requests per second, by the reports received up to `now`.
     fn rate(&self, now: f64) -> f64 {
         let elapsed = now - self.first_report_at.unwrap_or(now);
         self.requests as f64 / elapsed.max(MIN_RATE_WINDOW)
     }
 
-    /// Takes a box's word at `now`, in seconds; the permits it gets. `random` is a number from 0 to 1.
+    /// Records a box's report received at `now`, in seconds, and returns the number of permits
+    /// granted to the box. `random` is a random number from 0 to 1.
     pub fn record_report(
         &mut self,
         now: f64,
@@ -174,7 +181,8 @@
             last.rate = new_requests as f64 / elapsed;
         }
         (last.report, last.received_at) = (report.clone(), now);
-        // A box with little traffic has one as often as not: its next request is likely far off.
+        // A box with little traffic gets a permit in half of its replies, as its next request is
+        // likely far off.
         let minimum = u64::from(random < MAX_BOX_TRIAL_SHARE);
         let wanted =
             ((last.rate * MAX_BOX_TRIAL_SHARE * PERMIT_GRANT_TIME + random) as u64).max(minimum);
@@ -186,9 +194,9 @@
         self.exposure.grant(key, report.permits, wanted, bound)
     }
 
-    /// What the answers that all boxes told of say at `now`: bad where either all of them or those of late
-    /// do, so that many good ones at the beginning speak for nothing that comes after; good where both
-    /// are.
+    /// Evaluates the answers of all boxes at `now`. The verdict is bad if either all answers or
+    /// those of a recent window are bad, so that many good answers at the beginning do not hide
+    /// later failures. It is good only if both are good.
     pub fn verdict(&mut self, now: f64) -> Verdict {
         let mut routes = RouteStats::new();
         for (route, comparison) in self.reports.values().flat_map(|last| &last.report.routes) {
@@ -221,25 +229,26 @@
     }
 }
 
-/// Whether the new release has answered some requests of late, and nothing speaks against it.
+/// Whether the new release has recently answered some requests, with no evidence against it.
 fn is_recently_good(comparisons: &[RouteComparison]) -> bool {
     let mut sum = RouteComparison::default();
     comparisons.iter().for_each(|comparison| sum.add(comparison));
     sum.new.answers >= MIN_RECENT_ANSWERS && sum.failure_log_odds() < MAX_ROUTE_LOG_ODDS
 }
 
-/// Seconds between two moments at which the answers so far are kept, and how many moments: answers of
-/// late are those of the last half second to three seconds.
+/// Seconds between two snapshots of the sums of answers. With [`MAX_SNAPSHOTS`], the recent windows
+/// cover the last half second to three seconds.
 const SNAPSHOT_INTERVAL: f64 = 0.5;
 
-/// How many of these moments are kept.
+/// Number of snapshots kept.
 const MAX_SNAPSHOTS: usize = 6;
 
-/// Answers of the new release in the last three seconds before all traffic goes to it.
+/// Minimum number of answers of the new release in the last three seconds before all traffic shifts
+/// to it.
 const MIN_RECENT_ANSWERS: f64 = 3.0;
 
-/// The step of a roll-out that is due at `now`, `passed` seconds after the order, and what it goes by.
-/// `ready` says whether servers of the new release are there.
+/// Returns the step of a roll-out that is due at `now`, `elapsed` seconds after the order, and the
+/// state that it is based on. `ready` says whether servers of the new release are available.
 pub fn next_step(
     rollout: &Rollout,
     tracker: Option<&mut RolloutTracker>,
@@ -264,7 +273,8 @@
         status.exposed = tracker.exposure.committed();
         status.verdict = tracker.verdict(now);
         let most = limit.for_trial(status.expected(), tracker.rate(now));
-        // Evenly over the time, so that there are answers of late when all traffic is to go there.
+        // Spread the trial evenly over its time, so that there are recent answers when all traffic
+        // shifts.
         let pace = (elapsed / status.duration + INITIAL_TRIAL_SHARE).min(1.0);
         let paced = (most as f64 * pace) as u64;
         tracker.allowed_requests = paced.min(limit.for_trial(tracker.requests, tracker.rate(now)));
--- a/src/decide/verdict.rs
+++ b/src/decide/verdict.rs
@@ -1,109 +1,124 @@
-//! Whether a release that is being tried is bad.
+//! Decides whether a release on trial is bad.
 //!
-//! Each route's answers of the new release are held against those of the former one over the same
-//! seconds, so that what befalls both (slow engines, cuts, a cold start of everything) speaks against
-//! neither. Two things make a release bad: it fails more often, or it is slower.
+//! For each route, the answers of the new release are compared with those of the former release
+//! over the same period. Disturbances that affect both (slow engines, dropped connections, a cold
+//! start of the whole fleet) therefore count against neither. A release is bad if it fails more
+//! often or if it is slower.
 //!
-//! *Failures* go by a sequential probability ratio test: each answer weighs for the rate of the former
-//! release or for one that is higher by [`WORSE_BY`]. *Slowness* goes by the logarithms of the time of an
-//! answer over the time that was expected of it: the difference of their means, with its standard error.
-//! It also has to be felt: where answers take a fraction of a millisecond, one half slower is nothing to
-//! a caller whose route allows seconds. Both may be looked at after every answer.
+//! *Failures* are assessed with a sequential probability ratio test: each answer is weighed under
+//! the hypothesis that the new release fails at the rate of the former one, and under the
+//! hypothesis that its failure rate is higher by [`FAILURE_RATE_INCREASE`].
+//!
+//! *Slowness* is assessed with the logarithm of the time an answer took divided by the time
+//! expected of it: the means of the two releases are compared, with the standard error of their
+//! difference. The slowdown must also be noticeable: where answers take a fraction of a
+//! millisecond, one that is half as slow again makes no difference to a caller whose route allows
+//! seconds.
+//!
+//! Both tests may be repeated after every answer.
 
 use serde::{Deserialize, Serialize};
 
-/// By how much more of its answers a bad release fails. One in five is what a release is known by after a
-/// dozen answers; a day's own failing servers, one in seven of which fail half of their requests, stay
-/// under a third of it.
+/// By how much the failure rate of a bad release exceeds that of the former one. A release that
+/// fails one answer in five is detected after about a dozen answers. Ordinary faulty servers (one
+/// server in seven, each failing half of its requests) stay below a third of this rate.
 const FAILURE_RATE_INCREASE: f64 = 0.2;
 
-/// The least rate of failures that the former release is taken to have: below it, one failure alone
-/// would speak for a bad release.
+/// Lower bound on the assumed failure rate of the former release. Without it, a single failure
+/// would be enough to reject the new release.
 const MIN_FAILURE_RATE: f64 = 0.02;
 
-/// Answers of the former release at [`LEAST_RATE`] that are taken to have been seen before any were.
+/// Number of answers of the former release, with failure rate [`MIN_FAILURE_RATE`], that are
+/// assumed before any real answer is counted.
 const PRIOR_ANSWERS: f64 = 10.0;
 
-/// The log of the odds from which on a release is taken to fail: one good one in some 10,000 looks that
-/// begin anew. Answers of late begin anew with each of them.
+/// Log odds at or above which a release is considered to fail more often. A good release reaches
+/// this in about one of 10,000 evaluations that start from zero. Each window of recent answers is
+/// such a fresh start.
 const BAD_LOG_ODDS: f64 = 9.2;
 
-/// The log of the odds from which on it is taken not to: one bad one in 100.
+/// A release is considered not to fail more often once its log odds are at most the negative of this.
+/// One bad release in 100 passes.
 const GOOD_LOG_ODDS: f64 = 4.6;
 
-/// How much slower, as a factor, a release is at least to be called slow, and at most to be called as fast.
+/// Bounds on the slowdown factor: a release that is slower by more than the first is slow, and one
+/// that is slower by less than the second is still fast enough.
 const SLOWDOWN_LIMITS: (f64, f64) = (1.3, 1.8);
 
-/// Standard errors by which the difference must lie beyond those: looked at hundreds of times, a good
-/// release passes four by chance once in some thousand roll-outs.
+/// Number of standard errors by which the slowdown must lie beyond the corresponding
+/// [`SLOWDOWN_LIMITS`]. With hundreds of evaluations, a good release exceeds four by chance in
+/// about one of several thousand roll-outs.
 const ERROR_MARGINS: (f64, f64) = (4.0, 2.0);
 
-/// The least variance that is taken of the logarithms: a handful of like answers proves little.
+/// Lower bound on the variance of the logarithms, as a handful of similar answers proves little.
 const MIN_LOG_VARIANCE: f64 = 0.1;
 
-/// The part of the time that a route allows by which a slower release is felt. Under a twentieth no caller
-/// tells it from what a prompt's length or a neighbour's work does to any answer.
+/// Increase in latency, as a share of the time that the route allows, from which a caller notices a
+/// slower release. Below a twentieth, callers cannot distinguish it from the effect of prompt
+/// length or of other load on the server.
 const NOTICEABLE_SHARE: f64 = 0.05;
 
-/// The least standard deviation that is taken of these parts: a handful of like answers proves little.
+/// Lower bound on the standard deviation of these shares, as a handful of similar answers proves
+/// little.
 const MIN_SHARE_DEVIATION: f64 = 0.05;
 
-/// What an answer counts at most, in times of what its route allows: as late as can be.
+/// Upper bound on the share of the allowed time that a single answer contributes.
 const MAX_SHARE: f64 = 2.0;
 
-/// Answers below which nothing is said of slowness.
+/// Minimum number of timed answers of each release before slowness is assessed.
 const MIN_TIMED_ANSWERS: f64 = 8.0;
 
-/// The part of a service's answers from which on a route needs evidence of its own.
+/// Share of a service's answers from which a route needs its own evidence before the release is
+/// good.
 const ROUTE_TRAFFIC_SHARE: f64 = 0.05;
 
-/// Answers of the new release that such a route needs.
+/// Minimum number of answers of the new release on such a route.
 const MIN_ROUTE_ANSWERS: f64 = 5.0;
 
-/// The log of the odds against a few answers up to which they pass: one failure among some six.
+/// Log odds below which a small number of answers is accepted: about one failure in six.
 pub(super) const MAX_ROUTE_LOG_ODDS: f64 = 1.5;
 
-/// How long an answer took.
+/// The latency of an answer relative to two reference times.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RelativeLatency {
-    /// Over the time that was expected of it.
+    /// Time taken, divided by the time expected for the request. Plain requests have no expected
+    /// time and give the number of seconds: only the ratio between the two releases matters.
     pub to_expected: f64,
-    /// Over the time that its route allows.
+    /// Time taken, divided by the time that the route allows.
     pub to_allowed: f64,
 }
 
-/// What answers were like.
+/// Counts and latency sums of a set of answers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct AnswerStats {
-    /// Answers.
+    /// Number of answers.
     pub answers: f64,
-    /// Those that failed.
+    /// Number of answers that failed.
     pub failed: f64,
-    /// Answers whose time was taken, the sum of the logarithms of the factors by which they took longer than
-    /// expected, and of their squares.
+    /// Number of successful answers with a measured latency.
     pub timed: f64,
-    /// The sum of the logarithms.
+    /// Sum of the logarithms of [`RelativeLatency::to_expected`].
     #[serde(rename = "logs")]
     pub log_sum: f64,
-    /// The sum of their squares.
+    /// Sum of the squares of these logarithms.
     #[serde(rename = "squares")]
     pub log_square_sum: f64,
-    /// The sum of the times over what the route allows.
+    /// Sum of [`RelativeLatency::to_allowed`], each limited to [`MAX_SHARE`].
     #[serde(rename = "parts")]
     pub share_sum: f64,
-    /// The sum of their squares.
+    /// Sum of the squares of these shares.
     #[serde(rename = "part_squares")]
     pub share_square_sum: f64,
 }
 
 impl AnswerStats {
-    /// Counts an answer that failed.
+    /// Counts a failed answer.
     pub fn record_failure(&mut self) {
         self.answers += 1.0;
         self.failed += 1.0;
     }
 
-    /// Counts an answer that came at this pace.
+    /// Counts a successful answer.
     pub fn record_success(&mut self, latency: RelativeLatency) {
         self.answers += 1.0;
         let log = latency.to_expected.ln();
@@ -117,7 +132,7 @@
         }
     }
 
-    /// Adds another's answers.
+    /// Adds the answers of `other`.
     pub fn add(&mut self, other: &Self) {
         self.answers += other.answers;
         self.failed += other.failed;
@@ -128,7 +143,7 @@
         self.share_square_sum += other.share_square_sum;
     }
 
-    /// The answers since there were those of `before`.
+    /// Returns the answers that were added after `before` was taken.
     fn since(&self, before: &Self) -> Self {
         Self {
             answers: (self.answers - before.answers).max(0.0),
@@ -145,46 +160,47 @@
         self.log_sum / self.timed
     }
 
-    /// The square of the standard error of the mean.
+    /// Square of the standard error of the mean logarithm.
     fn log_error_squared(&self) -> f64 {
         let variance = self.log_square_sum / self.timed - self.mean_log().powi(2);
         variance.max(MIN_LOG_VARIANCE) / self.timed
     }
 
-    /// The mean of the times over what the route allows.
+    /// Mean of the latencies as shares of the allowed time.
     fn mean_share(&self) -> f64 {
         self.share_sum / self.timed
     }
 
-    /// The square of the standard error of that mean.
+    /// Square of the standard error of the mean share.
     fn share_error_squared(&self) -> f64 {
         let variance = self.share_square_sum / self.timed - self.mean_share().powi(2);
         variance.max(MIN_SHARE_DEVIATION.powi(2)) / self.timed
     }
 }
 
-/// The answers of one route by the new and by the former release.
+/// The answers of the new and the former release on one route.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteComparison {
-    /// Those of the new one.
+    /// Answers of the new release.
     pub new: AnswerStats,
-    /// Those of the former one.
+    /// Answers of the former release.
     pub former: AnswerStats,
 }
 
 impl RouteComparison {
-    /// Adds another's answers.
+    /// Adds the answers of `other`.
     pub fn add(&mut self, other: &Self) {
         self.new.add(&other.new);
         self.former.add(&other.former);
     }
 
-    /// The answers since there were those of `before`. A box that restarts takes its own with it.
+    /// Returns the answers that were added after `before` was taken. The counts of a box that
+    /// restarted since are no longer included; the result is never negative.
     pub fn since(&self, before: &Self) -> Self {
         Self { new: self.new.since(&before.new), former: self.former.since(&before.former) }
     }
 
-    /// The log of the odds that the new release fails more often.
+    /// Log odds that the new release fails more often than the former one.
     pub fn failure_log_odds(&self) -> f64 {
         let answers = self.former.answers + PRIOR_ANSWERS;
         let base_rate = (self.former.failed + MIN_FAILURE_RATE * PRIOR_ANSWERS) / answers;
@@ -195,20 +211,20 @@
             + succeeded * ((1.0 - worse_rate) / (1.0 - base_rate)).ln()
     }
 
-    /// Whether enough answers of both releases were timed to compare them.
+    /// Whether enough answers of both releases have a measured latency to compare them.
     fn is_timed(&self) -> bool {
         self.new.timed >= MIN_TIMED_ANSWERS && self.former.timed >= MIN_TIMED_ANSWERS
     }
 
-    /// By how much slower the new release is, as a logarithm, with its standard error; `None` while too few
-    /// answers were timed.
+    /// Logarithm of the factor by which the new release is slower, with its standard error. `None`
+    /// while too few answers have a measured latency.
     pub fn log_slowdown(&self) -> Option<(f64, f64)> {
         let error = (self.new.log_error_squared() + self.former.log_error_squared()).sqrt();
         self.is_timed().then(|| (self.new.mean_log() - self.former.mean_log(), error))
     }
 
-    /// By how much longer callers wait with the new release, as a part of what the route allows, with its
-    /// standard error; `None` while too few answers were timed.
+    /// Increase in latency with the new release, as a share of the allowed time, with its standard
+    /// error. `None` while too few answers have a measured latency.
     pub fn latency_increase(&self) -> Option<(f64, f64)> {
         let error = (self.new.share_error_squared() + self.former.share_error_squared()).sqrt();
         self.is_timed().then(|| (self.new.mean_share() - self.former.mean_share(), error))
@@ -229,7 +245,7 @@
         self.failure_log_odds() <= -GOOD_LOG_ODDS && self.is_fast_enough()
     }
 
-    /// Whether the new release is as fast as the former one, or slower by so little that nobody feels it.
+    /// Whether the new release is as fast as the former one, or slower by too little to be noticed.
     fn is_fast_enough(&self) -> bool {
         let below = |found: Option<(f64, f64)>, limit: f64| {
             found.is_some_and(|(difference, error)| difference + ERROR_MARGINS.1 * error < limit)
@@ -242,9 +258,9 @@
 /// Why a release is bad.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// It fails more of its requests than the former one.
+    /// It fails more of its requests than the former release.
     Fails,
-    /// It takes longer.
+    /// It is slower than the former release.
     IsSlow,
 }
 
@@ -257,18 +273,19 @@
     }
 }
 
-/// What the answers say so far.
+/// The result of an evaluation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Too little is known.
+    /// There is not enough evidence yet.
     Open,
-    /// Nothing speaks against it, on any route that counts.
+    /// There is enough evidence, and none against the release, on every route with significant
+    /// traffic.
     Good,
-    /// It is bad.
+    /// The release is bad.
     Bad(Reason),
 }
 
-/// Judges a release by the answers of each route.
+/// Evaluates a release by the answers on each of its routes and by their sum.
 pub fn evaluate<'a>(routes: impl Iterator<Item = &'a RouteComparison>) -> Verdict {
     let routes: Vec<_> = routes.collect();
     let mut total = RouteComparison::default();
