--- a/src/control/throttle.rs
+++ b/src/control/throttle.rs
@@ -145,7 +145,7 @@
         let ThrottleRequest { box_id, life, turn, clock, limits, .. } = &request;
         let dated = clock.filter(|clock| clock.term == term);
         let sent = dated.map(|clock| lead.since + clock.at.duration());
-        let origin = ReportOrigin { box_id, life: *life, turn: *turn, sent };
+        let origin = ReportOrigin { box_id, incarnation: *life, seq: *turn, sent_at: sent };
         let at = Millis::from(now.saturating_duration_since(lead.since));
         (at, lead.lease_limits(origin, limits, now))
     });
--- a/src/decide/pause.rs
+++ b/src/decide/pause.rs
@@ -1,24 +1,22 @@
-//! The pauses that backend servers ask a box for when they turn its requests away.
-//!
-//! Pure: refusals and moments in, which servers are left alone out.
+//! The pauses that backend servers ask a box for when they refuse its requests.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use super::throttle::may_be_same;
+use super::throttle::may_be_same_incarnation;
 use crate::ids::{BackendId, Incarnation, ServerKey, ServiceName};
 
-/// The longest pause that is kept. A server that is not asked in between can't take back what it asked for.
-const LONGEST: Duration = Duration::from_secs(3_600);
+/// The longest pause that is kept. The server gets no request in the meantime, so it can't take the pause back.
+const MAX_PAUSE: Duration = Duration::from_secs(3_600);
 
-/// Servers whose pauses are kept at most.
-const SERVER_LIMIT: usize = 1_024;
+/// The most servers whose pauses are kept.
+const MAX_SERVERS: usize = 1_024;
 
 /// A pause that one incarnation of a server asked for.
 #[derive(Debug, Clone)]
 struct Pause {
     service: ServiceName,
-    life: Incarnation,
+    incarnation: Incarnation,
     until: Instant,
 }
 
@@ -29,7 +27,7 @@
 }
 
 impl Pauses {
-    /// Records that a server asked for a pause at `now`. A shorter one does not end a longer one.
+    /// Records that a server asked for a pause at `now`. The later end of its current pause and the new one counts.
     pub fn record(
         &mut self,
         server: &ServerKey,
@@ -37,31 +35,33 @@
         pause: Duration,
         now: Instant,
     ) {
-        self.servers.retain(|_, held| now < held.until);
-        let until = now + pause.min(LONGEST);
-        let before = self.servers.get(&server.id);
-        let before = before.filter(|held| may_be_same(held.life, server.life));
-        let until = before.map_or(until, |held| held.until.max(until));
-        if before.is_some() || self.servers.len() < SERVER_LIMIT {
-            let pause = Pause { service: service.clone(), life: server.life, until };
+        self.servers.retain(|_, pause| now < pause.until);
+        let until = now + pause.min(MAX_PAUSE);
+        let current = self.servers.get(&server.id);
+        let current = current.filter(|it| may_be_same_incarnation(it.incarnation, server.life));
+        let until = current.map_or(until, |it| it.until.max(until));
+        if current.is_some() || self.servers.len() < MAX_SERVERS {
+            let pause = Pause { service: service.clone(), incarnation: server.life, until };
             self.servers.insert(server.id.clone(), pause);
         }
     }
 
-    /// The servers of a service whose pauses have not ended, each in the incarnation that asked.
+    /// The servers of a service whose pauses have not ended, each with the incarnation that asked for the pause.
     pub fn active(&self, service: &ServiceName, now: Instant) -> BTreeMap<BackendId, Incarnation> {
-        let held = self.servers.iter().filter(|(_, it)| it.service == *service && now < it.until);
-        held.map(|(id, it)| (id.clone(), it.life)).collect()
+        let active = self.servers.iter();
+        let active = active.filter(|(_, it)| it.service == *service && now < it.until);
+        active.map(|(id, pause)| (id.clone(), pause.incarnation)).collect()
     }
 
-    /// The time until the first pause of a service's servers ends.
+    /// The time until the first active pause of a service's servers ends.
     pub fn wait(&self, service: &ServiceName, now: Instant) -> Option<Duration> {
-        let held = self.servers.values().filter(|held| held.service == *service);
-        held.map(|held| held.until.saturating_duration_since(now)).filter(|it| !it.is_zero()).min()
+        let pauses = self.servers.values().filter(|pause| pause.service == *service);
+        let waits = pauses.map(|pause| pause.until.saturating_duration_since(now));
+        waits.filter(|wait| !wait.is_zero()).min()
     }
 
-    /// Servers that are left alone.
-    pub fn count(&self, now: Instant) -> usize {
-        self.servers.values().filter(|held| now < held.until).count()
+    /// The number of active pauses.
+    pub fn active_count(&self, now: Instant) -> usize {
+        self.servers.values().filter(|pause| now < pause.until).count()
     }
 }
--- a/src/decide/throttle.rs
+++ b/src/decide/throttle.rs
@@ -1,10 +1,8 @@
-//! The limits that backend servers name in their answers, as one box keeps them.
+//! The request limits that backend servers announce in their answers, as one box applies them.
 //!
-//! A server in need names the requests a second that it takes from all boxes together, for as long as its answers
-//! name it. The leader leases shares of that ([`super::limit_leases`]); a box sends by a token bucket that fills at
-//! its share of the limit, and nothing without a lease.
-//!
-//! Pure: notices, replies and moments in, permissions and reports out.
+//! An overloaded server announces how many requests a second it accepts from all boxes together. The limit is in force
+//! for as long as its answers repeat it. The leader leases shares of the limit ([`super::limit_leases`]); a box sends
+//! by a token bucket that refills at its share of the limit, and sends nothing without a lease.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -15,138 +13,143 @@
 use crate::ids::{BackendId, Incarnation, ServerKey, ServiceName};
 use crate::units::{Millis, RequestRate};
 
-/// Servers whose limits are kept at most.
-const SERVER_LIMIT: usize = 1_024;
+/// The most servers whose limits are kept.
+const MAX_SERVERS: usize = 1_024;
 
-/// Servers in one report at most: with the reply 5 KB, several times a second. The others follow with the next reports.
-const REPORTED: usize = 24;
+/// The most servers in one report. With the reply that is 5 KB, several times a second; the other servers follow in
+/// the next reports.
+const MAX_REPORTED_SERVERS: usize = 24;
 
-/// The least rate at which a limited server is sent to: no other way shows that its limit has ended.
+/// The least rate at which a limited server is sent requests: only its answers show that the limit has ended.
 const PROBE_RATE: RequestRate = RequestRate(0.1);
 
-/// Seconds for which a bucket collects its rate beyond the first request: requests come in clumps.
-const CLUMP_TIME: f64 = 0.5;
+/// Seconds for which a bucket accumulates its rate beyond the first token: requests come in bursts.
+const BURST_SECS: f64 = 0.5;
 
-/// How long after a request passed a server over a box still asks for a lease of it.
-const WANTED_TIME: Duration = Duration::from_secs(5);
+/// How long after a request last considered a server the box still asks for a lease of it.
+const DEMAND_TIME: Duration = Duration::from_secs(5);
 
-/// How long a bucket may hold a request that nobody takes before the lease goes to another box.
-const IDLE_TIME: Duration = Duration::from_secs(5);
+/// How long a token may stay unused before the box gives its lease up to others.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a box that gave a lease up leaves it to others.
-const REST_TIME: Duration = Duration::from_secs(2);
+/// How long a box that gave a lease up does not ask for a new one.
+const LEASE_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How long the limit of a server is kept that is no longer listed: it may be back.
-const GONE_TIME: Duration = Duration::from_secs(60);
+/// How long the limit of a server that is no longer listed is kept, as the server may come back.
+const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 
-/// What the head of a server's answer says of its limit.
+/// What the head of a server's answer says about its limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum LimitNotice {
-    /// It names none.
+    /// There is no limit.
     #[default]
     None,
-    /// It names one that cannot be read, which says nothing.
+    /// The limit can't be parsed. The former limit stays in force.
     Unreadable,
-    /// The requests a second that it takes from all boxes together.
+    /// The requests a second that the server accepts from all boxes together.
     Limited(RequestRate),
 }
 
-/// A server's limit has become another one; `None` stands for no limit.
+/// A change of a server's limit; `None` stands for no limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitChange {
-    /// What it was.
-    pub before: Option<RequestRate>,
-    /// What it is.
-    pub now: Option<RequestRate>,
+    /// The former limit.
+    pub old: Option<RequestRate>,
+    /// The limit in force now.
+    pub new: Option<RequestRate>,
 }
 
-/// What a box reports of one server that named a limit.
+/// What a box reports about one server that announced a limit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LimitReport {
     /// The server, in the incarnation that answered.
     pub server: ServerKey,
-    /// What it named last; `None` where its last answer named no limit.
+    /// The limit in the server's last answer to this box; `None` if that had none.
     pub limit: Option<RequestRate>,
-    /// How long before the report that answer came.
+    /// The age of that answer when the report is made.
     pub age: Millis,
-    /// The share of the limit that the box has on lease, 0 to 1.
+    /// The share of the limit that the box has on lease, from 0 to 1.
     #[serde(default)]
     pub share: f64,
-    /// Whether it asks for one.
+    /// Whether the box asks for a lease, or to keep the one it has.
     #[serde(default)]
     pub wanted: bool,
 }
 
-/// What the leader answers for one server.
+/// What the leader replies for one server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LimitLease {
-    /// The server, in the incarnation that is known to the leader.
+    /// The server, in the incarnation that the leader knows.
     pub server: ServerKey,
-    /// The newest limit that the server named to any box; `None` where it names none any more.
+    /// The latest limit that the server announced to any box; `None` if its latest answer had none.
     pub limit: Option<RequestRate>,
-    /// How long ago it did.
+    /// The age of that answer.
     pub age: Millis,
-    /// The share of it that the box may use, 0 to 1.
+    /// The share of the limit that the box may use, from 0 to 1.
     #[serde(default)]
     pub share: f64,
 }
 
-/// Whether two incarnations may be the same: one that nobody has told may be any.
-pub(crate) fn may_be_same(a: Incarnation, b: Incarnation) -> bool {
+/// Whether two incarnations may be the same one. An unknown incarnation may be any.
+pub(crate) fn may_be_same_incarnation(a: Incarnation, b: Incarnation) -> bool {
     a == b || a.is_none() || b.is_none()
 }
 
-/// A share of a limit, until a moment.
+/// A share of a limit, leased until a time.
 #[derive(Debug, Clone, Copy)]
 struct Lease {
     share: f64,
     until: Instant,
 }
 
-/// The limit of one incarnation of a server.
+/// The limit of one incarnation of a server, and the box's token bucket for it.
 #[derive(Debug, Clone)]
 struct Throttle {
     service: ServiceName,
-    life: Incarnation,
-    /// What the server named last, to any box; `None` where the limit has ended.
+    incarnation: Incarnation,
+    /// The limit that the server last announced to any box; `None` once the limit has ended.
     limit: Option<RequestRate>,
-    /// When it did.
-    named: Instant,
-    /// What it named last to this box, and when.
+    /// When the server announced it.
+    announced_at: Instant,
+    /// The limit that the server last announced to this box, and when.
     own: (Option<RequestRate>, Instant),
     lease: Option<Lease>,
     tokens: f64,
-    /// Up to when the tokens have come in.
-    filled: Instant,
-    /// Since when a token lies unused.
-    ready: Option<Instant>,
-    /// When a request last passed the server over.
-    wanted: Option<Instant>,
-    /// Until when no lease is asked for.
-    rests: Instant,
-    /// When it was reported last.
-    reported: Option<Instant>,
+    /// The time up to which the bucket has been refilled.
+    refilled_at: Instant,
+    /// The time since which a token has been unused.
+    unused_since: Option<Instant>,
+    /// When a request last considered this server.
+    wanted_at: Option<Instant>,
+    /// The time before which no lease is asked for.
+    backoff_until: Instant,
+    reported_at: Option<Instant>,
 }
 
 impl Throttle {
-    fn new(service: ServiceName, life: Incarnation, limit: RequestRate, now: Instant) -> Self {
+    fn new(
+        service: ServiceName,
+        incarnation: Incarnation,
+        limit: RequestRate,
+        now: Instant,
+    ) -> Self {
         Self {
             service,
-            life,
+            incarnation,
             limit: Some(limit),
-            named: now,
+            announced_at: now,
             own: (Some(limit), now),
             lease: None,
             tokens: 0.0,
-            filled: now,
-            ready: None,
-            wanted: None,
-            rests: now,
-            reported: None,
+            refilled_at: now,
+            unused_since: None,
+            wanted_at: None,
+            backoff_until: now,
+            reported_at: None,
         }
     }
 
-    /// Requests a second that this box may send.
+    /// The requests a second that this box may send.
     fn rate(&self) -> f64 {
         let (Some(limit), Some(lease)) = (self.limit, self.lease) else {
             return 0.0;
@@ -154,44 +157,44 @@
         lease.share * limit.0.max(PROBE_RATE.0)
     }
 
-    /// Lets tokens come in and the lease end.
-    fn pass(&mut self, now: Instant) {
+    /// Refills the bucket up to `now`, and ends an expired lease.
+    fn refill(&mut self, now: Instant) {
         if let Some(Lease { until, .. }) = self.lease {
             let rate = self.rate();
-            let passed = now.min(until).saturating_duration_since(self.filled);
-            let most = 1.0 + rate * CLUMP_TIME;
-            self.tokens = (self.tokens + rate * passed.as_secs_f64()).min(most);
+            let elapsed = now.min(until).saturating_duration_since(self.refilled_at);
+            let capacity = 1.0 + rate * BURST_SECS;
+            self.tokens = (self.tokens + rate * elapsed.as_secs_f64()).min(capacity);
             if now >= until {
                 self.end_lease();
             }
         }
-        self.filled = now;
-        self.ready = (self.tokens >= 1.0).then(|| self.ready.unwrap_or(now));
+        self.refilled_at = now;
+        self.unused_since = (self.tokens >= 1.0).then(|| self.unused_since.unwrap_or(now));
     }
 
-    /// Takes what the server named at `named`. What was saved under a higher limit shrinks with it: many boxes
-    /// may have shared that.
-    fn set_limit(&mut self, limit: Option<RequestRate>, named: Instant, now: Instant) {
-        self.pass(now);
-        if let (Some(before), Some(limit)) = (self.limit, limit)
-            && limit < before
+    /// Sets the limit that the server announced at `announced_at`. Tokens accumulated under a higher limit are scaled
+    /// down with it, because many boxes may have accumulated some.
+    fn set_limit(&mut self, limit: Option<RequestRate>, announced_at: Instant, now: Instant) {
+        self.refill(now);
+        if let (Some(old), Some(limit)) = (self.limit, limit)
+            && limit < old
         {
-            self.tokens *= limit.0 / before.0;
+            self.tokens *= limit.0 / old.0;
         }
-        (self.limit, self.named) = (limit, named);
+        (self.limit, self.announced_at) = (limit, announced_at);
     }
 
     fn end_lease(&mut self) {
-        (self.lease, self.tokens, self.ready) = (None, 0.0, None);
+        (self.lease, self.tokens, self.unused_since) = (None, 0.0, None);
     }
 
-    fn is_open(&self) -> bool {
+    fn allows_request(&self) -> bool {
         self.limit.is_none() || self.tokens >= 1.0
     }
 
-    /// Takes a share on lease; a new lease begins without tokens.
-    fn renew(&mut self, share: f64, until: Instant, now: Instant) {
-        self.pass(now);
+    /// Sets the leased share. A new lease begins without tokens.
+    fn renew_lease(&mut self, share: f64, until: Instant, now: Instant) {
+        self.refill(now);
         match share > 0.0 && until > now {
             true => self.lease = Some(Lease { share, until }),
             false => self.end_lease(),
@@ -199,67 +202,68 @@
     }
 
     /// Whether the box asks for a lease, or to keep the one it has.
-    fn asks(&mut self, now: Instant) -> bool {
+    fn wants_lease(&mut self, now: Instant) -> bool {
         if self.lease.is_some() {
-            let is_idle = self.ready.is_some_and(|since| now >= since + IDLE_TIME);
+            let is_idle = self.unused_since.is_some_and(|since| now >= since + IDLE_TIMEOUT);
             if is_idle {
-                self.rests = now + REST_TIME;
+                self.backoff_until = now + LEASE_BACKOFF;
             }
             return !is_idle;
         }
-        now >= self.rests && self.wanted.is_some_and(|at| now < at + WANTED_TIME)
+        let is_wanted = self.wanted_at.is_some_and(|at| now < at + DEMAND_TIME);
+        now >= self.backoff_until && is_wanted
     }
 
     fn report(&mut self, id: &BackendId, now: Instant) -> LimitReport {
-        self.pass(now);
-        self.reported = Some(now);
+        self.refill(now);
+        self.reported_at = Some(now);
         let (limit, at) = self.own;
         LimitReport {
-            server: ServerKey { id: id.clone(), life: self.life },
+            server: ServerKey { id: id.clone(), life: self.incarnation },
             limit,
             age: now.saturating_duration_since(at).into(),
             share: self.lease.map_or(0.0, |lease| lease.share),
-            wanted: self.asks(now),
+            wanted: self.wants_lease(now),
         }
     }
 }
 
-/// Whether a request may go to a server that limits itself.
+/// Whether this box may send a request to a limited server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ThrottleState {
-    /// The incarnation that the limit is of.
-    pub life: Incarnation,
-    /// Whether this box may send it a request now.
-    pub open: bool,
+    /// The incarnation that announced the limit.
+    pub incarnation: Incarnation,
+    /// Whether the box may send a request now.
+    pub is_open: bool,
 }
 
 impl ThrottleState {
-    /// Whether it holds for a server in this incarnation.
-    pub fn is_of(&self, life: Incarnation) -> bool {
-        may_be_same(self.life, life)
+    /// Whether the limit applies to a server of this incarnation.
+    pub fn applies_to(&self, incarnation: Incarnation) -> bool {
+        may_be_same_incarnation(self.incarnation, incarnation)
     }
 }
 
-/// The limits of backend servers that this box was told of.
+/// The limits of backend servers that this box knows.
 #[derive(Debug, Default)]
 pub struct Throttles {
     servers: BTreeMap<BackendId, Throttle>,
 }
 
 impl Throttles {
-    /// Whether no limit is known.
+    /// Whether no server is known that announced a limit.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// Servers that limit themselves.
-    pub fn count(&self) -> usize {
-        self.servers.values().filter(|held| held.limit.is_some()).count()
+    /// The number of servers with a limit in force.
+    pub fn limited_count(&self) -> usize {
+        self.servers.values().filter(|throttle| throttle.limit.is_some()).count()
     }
 
     fn find(&mut self, server: &ServerKey) -> Option<&mut Throttle> {
-        let held = self.servers.get_mut(&server.id)?;
-        may_be_same(held.life, server.life).then_some(held)
+        let throttle = self.servers.get_mut(&server.id)?;
+        may_be_same_incarnation(throttle.incarnation, server.life).then_some(throttle)
     }
 
     /// The limit of a server.
@@ -267,7 +271,7 @@
         self.find(server)?.limit
     }
 
-    /// Records what a server's answer says of its limit; what changes with it.
+    /// Records the limit in a server's answer. Returns the change if the limit is a new one.
     pub fn record_notice(
         &mut self,
         server: &ServerKey,
@@ -280,96 +284,99 @@
             LimitNotice::None => None,
             LimitNotice::Limited(limit) => Some(limit),
         };
-        let before = self.limit(server);
-        if let Some(held) = self.find(server) {
-            held.set_limit(limit, now, now);
-            held.life = held.life.max(server.life);
-            held.own = (limit, now);
+        let old = self.limit(server);
+        if let Some(throttle) = self.find(server) {
+            throttle.set_limit(limit, now, now);
+            throttle.incarnation = throttle.incarnation.max(server.life);
+            throttle.own = (limit, now);
         } else if let Some(limit) = limit {
-            if self.servers.len() >= SERVER_LIMIT && !self.servers.contains_key(&server.id) {
+            if self.servers.len() >= MAX_SERVERS && !self.servers.contains_key(&server.id) {
                 return None;
             }
             let throttle = Throttle::new(service.clone(), server.life, limit, now);
             self.servers.insert(server.id.clone(), throttle);
         }
-        (before != limit).then_some(LimitChange { before, now: limit })
+        (old != limit).then_some(LimitChange { old, new: limit })
     }
 
-    /// The servers of a service that limit themselves, for a request that is to be sent now.
-    pub fn admissions(
+    /// The state of each limited server of a service. Notes that a request wants to use them.
+    pub fn states(
         &mut self,
         service: &ServiceName,
         now: Instant,
     ) -> BTreeMap<BackendId, ThrottleState> {
         let limited = self.servers.iter_mut();
         let limited = limited.filter(|(_, it)| it.service == *service && it.limit.is_some());
-        let admission = |(id, held): (&BackendId, &mut Throttle)| {
-            held.pass(now);
-            held.wanted = Some(now);
-            (id.clone(), ThrottleState { life: held.life, open: held.is_open() })
+        let state = |(id, throttle): (&BackendId, &mut Throttle)| {
+            throttle.refill(now);
+            throttle.wanted_at = Some(now);
+            let (incarnation, is_open) = (throttle.incarnation, throttle.allows_request());
+            (id.clone(), ThrottleState { incarnation, is_open })
         };
-        limited.map(admission).collect()
+        limited.map(state).collect()
     }
 
-    /// Claims the place of one request at a server; whether there is one.
+    /// Takes a token for one request to a server. Returns `false` if the server is limited and no token is left.
     pub fn claim(&mut self, server: &ServerKey, now: Instant) -> bool {
-        let Some(held) = self.find(server) else {
+        let Some(throttle) = self.find(server) else {
             return true;
         };
-        held.pass(now);
-        if held.limit.is_none() {
+        throttle.refill(now);
+        if throttle.limit.is_none() {
             return true;
         }
-        if held.tokens < 1.0 {
+        if throttle.tokens < 1.0 {
             return false;
         }
-        held.tokens -= 1.0;
-        held.ready = (held.tokens >= 1.0).then_some(now);
+        throttle.tokens -= 1.0;
+        throttle.unused_since = (throttle.tokens >= 1.0).then_some(now);
         true
     }
 
-    /// The time until this box may send a request to one of a service's limited servers, as far as its leases tell.
+    /// The time until this box may send a request to one of a service's limited servers, by its current leases.
+    /// `None` without a lease.
     pub fn wait(&mut self, service: &ServiceName, now: Instant) -> Option<Duration> {
         let limited = self.servers.values_mut();
         let limited = limited.filter(|it| it.service == *service && it.limit.is_some());
-        let wait = |held: &mut Throttle| {
-            held.pass(now);
-            let rate = Some(held.rate()).filter(|rate| *rate > 0.0)?;
-            Some(Duration::from_secs_f64((1.0 - held.tokens).max(0.0) / rate))
+        let wait = |throttle: &mut Throttle| {
+            throttle.refill(now);
+            let rate = Some(throttle.rate()).filter(|rate| *rate > 0.0)?;
+            Some(Duration::from_secs_f64((1.0 - throttle.tokens).max(0.0) / rate))
         };
         limited.filter_map(wait).min()
     }
 
-    /// What is to be reported to the leader, [`REPORTED`] servers at most: those first that were reported longest
-    /// ago.
+    /// The report to the leader, of at most [`MAX_REPORTED_SERVERS`] servers: those whose last report is oldest.
     pub fn report(&mut self, now: Instant) -> Vec<LimitReport> {
         let mut due: Vec<_> = self.servers.iter_mut().collect();
-        due.sort_by_key(|(_, held)| held.reported);
-        due.truncate(REPORTED);
-        due.into_iter().map(|(id, held)| held.report(id, now)).collect()
+        due.sort_by_key(|(_, throttle)| throttle.reported_at);
+        due.truncate(MAX_REPORTED_SERVERS);
+        due.into_iter().map(|(id, throttle)| throttle.report(id, now)).collect()
     }
 
-    /// Takes the leader's reply to the report made at `sent`. A server whose limit has ended is forgotten.
-    pub fn apply_leases(&mut self, leases: &[LimitLease], sent: Instant, now: Instant) {
+    /// Applies the leader's reply to the report made at `sent_at`. Drops servers whose limit has ended.
+    pub fn apply_leases(&mut self, leases: &[LimitLease], sent_at: Instant, now: Instant) {
         for lease in leases {
-            let Some(held) = self.find(&lease.server) else {
+            let Some(throttle) = self.find(&lease.server) else {
                 continue;
             };
-            // Not later than it was: what this box was told meanwhile counts.
-            let named = sent.checked_sub(lease.age.duration()).unwrap_or(sent);
-            if named > held.named {
-                held.set_limit(lease.limit, named, now);
+            // Counted from the report and not from the reply: the result is never too late, so that what the server
+            // announced to this box in the meantime takes precedence.
+            let announced_at = sent_at.checked_sub(lease.age.duration()).unwrap_or(sent_at);
+            if announced_at > throttle.announced_at {
+                throttle.set_limit(lease.limit, announced_at, now);
             }
-            held.life = held.life.max(lease.server.life);
-            match held.limit.is_none() && lease.limit.is_none() {
+            throttle.incarnation = throttle.incarnation.max(lease.server.life);
+            match throttle.limit.is_none() && lease.limit.is_none() {
                 true => drop(self.servers.remove(&lease.server.id)),
-                false => held.renew(lease.share, sent + LEASE_DURATION, now),
+                false => throttle.renew_lease(lease.share, sent_at + LEASE_DURATION, now),
             }
         }
     }
 
-    /// Forgets the servers that are gone.
-    pub fn retain(&mut self, mut is_there: impl FnMut(&BackendId) -> bool, now: Instant) {
-        self.servers.retain(|id, held| now < held.own.1 + GONE_TIME || is_there(id));
+    /// Drops the servers that are no longer listed and have announced nothing for [`UNLISTED_RETENTION`].
+    pub fn retain(&mut self, mut is_listed: impl FnMut(&BackendId) -> bool, now: Instant) {
+        self.servers
+            .retain(|id, throttle| now < throttle.own.1 + UNLISTED_RETENTION || is_listed(id));
     }
 }
--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -277,8 +277,8 @@
     }
     let service = &known.server.service;
     let change = relay.throttles().record_notice(&server, service, head.limit_notice, clock::now());
-    if let Some(LimitChange { before, now }) = change {
-        let (before, now) = (before.map(field::display), now.map(field::display));
+    if let Some(LimitChange { old, new }) = change {
+        let (before, now) = (old.map(field::display), new.map(field::display));
         tracing::info!(event = "server_limit_changed", backend_server = %server.id, before, now);
         relay.limit_changed.notify_one();
     }
--- a/src/relay/restraint.rs
+++ b/src/relay/restraint.rs
@@ -6,7 +6,7 @@
 use super::Relay;
 use super::known::Known;
 use crate::clock;
-use crate::decide::throttle::{ThrottleState, may_be_same};
+use crate::decide::throttle::{ThrottleState, may_be_same_incarnation};
 use crate::ids::{BackendId, Incarnation, ServiceName};
 use crate::units::RequestRate;
 
@@ -20,14 +20,14 @@
     /// Those that hold now, for a request that is to be sent.
     pub(super) fn now(relay: &Relay, service: &ServiceName) -> Self {
         let now = clock::now();
-        let limited = relay.throttles().admissions(service, now);
+        let limited = relay.throttles().states(service, now);
         let paused = relay.pauses().active(service, now);
         Self { limited, paused }
     }
 
     fn limit_of(&self, known: &Known) -> Option<&ThrottleState> {
         let limit = self.limited.get(&known.server.id);
-        limit.filter(|limit| limit.is_of(known.life()))
+        limit.filter(|limit| limit.applies_to(known.life()))
     }
 
     /// Whether a server limits itself.
@@ -38,8 +38,8 @@
     /// Whether a server may get a request of this box.
     pub(super) fn allows(&self, known: &Known) -> bool {
         let life = self.paused.get(&known.server.id);
-        let is_paused = life.is_some_and(|life| may_be_same(*life, known.life()));
-        !is_paused && self.limit_of(known).is_none_or(|limit| limit.open)
+        let is_paused = life.is_some_and(|life| may_be_same_incarnation(*life, known.life()));
+        !is_paused && self.limit_of(known).is_none_or(|limit| limit.is_open)
     }
 }
 
--- a/src/telemetry/gauges.rs
+++ b/src/telemetry/gauges.rs
@@ -171,8 +171,8 @@
     fn record_relay(&self, relay: &Relay) {
         self.record_memory(relay);
         self.quarantined.record(relay.quarantine().len() as u64, &[]);
-        self.limited.record(relay.throttles().count() as u64, &[]);
-        self.paused.record(relay.pauses().count(clock::now()) as u64, &[]);
+        self.limited.record(relay.throttles().limited_count() as u64, &[]);
+        self.paused.record(relay.pauses().active_count(clock::now()) as u64, &[]);
         let list = relay.servers.version();
         self.list_term.record(list.term.0, &[]);
         self.list_place.record(list.sequence, &[]);
--- a/tests/throttle.rs
+++ b/tests/throttle.rs
@@ -218,7 +218,7 @@
             let id = self.boxes[place].id.clone();
             let dated = clock.filter(|(term, _)| *term == self.term.0);
             let dated = dated.map(|(_, time)| self.moment(self.term.1 + time));
-            let origin = ReportOrigin { box_id: &id, life, turn, sent: dated };
+            let origin = ReportOrigin { box_id: &id, incarnation: life, seq: turn, sent_at: dated };
             let leases = self.leases.handle_reports(origin, &limits, is_taking_over, now);
             let it = &mut self.boxes[place];
             let is_lost = self.rng.random::<f64>() < self.day.lost;
@@ -247,7 +247,7 @@
         }
         let limit = RequestRate(self.limit(at));
         let it = &mut self.boxes[place];
-        it.throttles.admissions(&self.service, now);
+        it.throttles.states(&self.service, now);
         if !it.throttles.claim(&self.server, now) {
             return;
         }
