--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -22,13 +22,13 @@
 
 /// A connection on which an unrepeatable request goes has rested no longer than this: the other side
 /// hardly closes it at that moment.
-const REST_LIMIT: Duration = Duration::from_secs(2);
+const MAX_IDLE_TIME: Duration = Duration::from_secs(2);
 
 /// Bytes of a refusal that are read so that its connection can be used again.
-const REFUSAL_BYTES: usize = 16 << 10;
+const MAX_REFUSAL_BYTES: usize = 16 << 10;
 
 /// How long that may take.
-const REFUSAL_TIME: Duration = Duration::from_millis(100);
+const REFUSAL_READ_TIME: Duration = Duration::from_millis(100);
 
 /// Why a send gave no answer to pass on.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -55,7 +55,7 @@
     }
 
     /// What a broken or silent exchange proves.
-    pub fn of_fault(fault: SendFault) -> Self {
+    pub fn from_fault(fault: SendFault) -> Self {
         let detail = fault.to_string();
         match fault {
             SendFault::NotSent(_) | SendFault::Refused(_) => {
@@ -82,36 +82,38 @@
 
 /// What an answer's head allows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Verdict {
-    Pass,
+enum ReplyClass {
+    Forward,
     Failed,
     NotRun,
-    Spoilt(&'static str),
+    Invalid(&'static str),
 }
 
 /// Judges an answer's head. Only the server's own word says that a request has not run: a status
 /// that would promise as much without that word is not passed on.
-fn judge(status: StatusCode, head: &ReplyHead, encoded: bool) -> Verdict {
+fn classify_reply(status: StatusCode, head: &ReplyHead, encoded: bool) -> ReplyClass {
     if head.not_run || status == StatusCode::MISDIRECTED_REQUEST {
-        return Verdict::NotRun;
+        return ReplyClass::NotRun;
     }
     if !head.matches_request {
-        return Verdict::Spoilt("the answer belongs to another request");
+        return ReplyClass::Invalid("the answer belongs to another request");
     }
     if status.is_success() {
         return match (head.signed, encoded) {
-            (true, false) => Verdict::Pass,
-            (false, _) => Verdict::Spoilt("the answer is not vouched for"),
-            (true, true) => Verdict::Spoilt("the answer is encoded"),
+            (true, false) => ReplyClass::Forward,
+            (false, _) => ReplyClass::Invalid("the answer is not vouched for"),
+            (true, true) => ReplyClass::Invalid("the answer is encoded"),
         };
     }
     match status {
         StatusCode::TOO_MANY_REQUESTS
         | StatusCode::SERVICE_UNAVAILABLE
-        | StatusCode::REQUEST_TIMEOUT => Verdict::Spoilt("the status promises more than was said"),
-        _ if status.is_server_error() => Verdict::Failed,
-        _ if status.is_client_error() => Verdict::Pass,
-        _ => Verdict::Spoilt("the status is no answer"),
+        | StatusCode::REQUEST_TIMEOUT => {
+            ReplyClass::Invalid("the status promises more than was said")
+        }
+        _ if status.is_server_error() => ReplyClass::Failed,
+        _ if status.is_client_error() => ReplyClass::Forward,
+        _ => ReplyClass::Invalid("the status is no answer"),
     }
 }
 
@@ -127,7 +129,7 @@
 }
 
 /// An answer whose head may be passed on.
-pub struct Reply {
+pub struct CheckedReply {
     /// The exchange, at its body.
     pub exchange: Exchange,
     /// Whether the server itself says that the request failed.
@@ -145,19 +147,19 @@
     known: &Known,
     start: StartState<'_>,
     limit: Duration,
-) -> Result<Reply, SendFailure> {
+) -> Result<CheckedReply, SendFailure> {
     if known.state.is_over() {
         let detail = format!("{} has started again", known.server.id);
         return Err(SendFailure::NotRun { arrived: false, detail });
     }
-    let request = request(relay, call, known, start);
+    let request = build_request(relay, call, known, start);
     let reuse = match route.repeat.is_repeatable() {
         true => Reuse::Any,
-        false => Reuse::Rested(REST_LIMIT),
+        false => Reuse::Rested(MAX_IDLE_TIME),
     };
     let sent = relay.context.pool.send(known.server.addr, request, limit, reuse).await;
     let exchange = match sent {
-        Ok(exchange) => counted(relay, call, known, exchange),
+        Ok(exchange) => count_exchange(relay, call, known, exchange),
         Err(fault) => {
             record_fault(relay, known, fault == SendFault::TimedOut);
             if matches!(fault, SendFault::Refused(_)) {
@@ -166,7 +168,7 @@
             if !fault.is_not_sent() {
                 relay.record_outcome(known, &route.name, AnswerOutcome::Failed);
             }
-            return Err(SendFailure::of_fault(fault));
+            return Err(SendFailure::from_fault(fault));
         }
     };
     let head = relay.context.dialect.read_reply(call, exchange.status, &exchange.headers);
@@ -175,20 +177,20 @@
     }
     // A misdirected answer is another server's.
     if exchange.status != StatusCode::MISDIRECTED_REQUEST {
-        record_restraints(relay, known, &head);
+        record_server_notices(relay, known, &head);
     }
     let encoded = exchange.headers.contains_key(hyper::header::CONTENT_ENCODING);
-    match judge(exchange.status, &head, encoded) {
-        Verdict::Pass => Ok(Reply { exchange, failed: false }),
-        Verdict::Failed => {
+    match classify_reply(exchange.status, &head, encoded) {
+        ReplyClass::Forward => Ok(CheckedReply { exchange, failed: false }),
+        ReplyClass::Failed => {
             tracing::info!(
                 event = "answer_failed", id = call.head.id, backend_server = %known.server.id,
                 status = exchange.status.as_u16(), left_ms = call.time_left().as_millis() as u64,
             );
             record_failed_answer(relay, known, route);
-            Ok(Reply { exchange, failed: true })
+            Ok(CheckedReply { exchange, failed: true })
         }
-        Verdict::NotRun => {
+        ReplyClass::NotRun => {
             if exchange.status == StatusCode::MISDIRECTED_REQUEST {
                 // Another server has its address: this one is gone.
                 ends::record_end(relay, known);
@@ -203,10 +205,10 @@
             if let Some(pause) = head.requested_pause {
                 detail += &format!(" and asks for a pause of {} ms", pause.as_millis());
             }
-            let _ = exchange.read_whole(REFUSAL_BYTES, REFUSAL_TIME).await;
+            let _ = exchange.read_whole(MAX_REFUSAL_BYTES, REFUSAL_READ_TIME).await;
             Err(SendFailure::NotRun { arrived: true, detail })
         }
-        Verdict::Spoilt(reason) => {
+        ReplyClass::Invalid(reason) => {
             record_failed_answer(relay, known, route);
             Err(SendFailure::unknown(
                 Kind::BackendInvalid,
@@ -217,11 +219,11 @@
 }
 
 /// Counts a request that reached a server, and its answer; a new connection tells how far that is.
-fn counted(relay: &Relay, call: &Call, known: &Known, mut exchange: Exchange) -> Exchange {
+fn count_exchange(relay: &Relay, call: &Call, known: &Known, mut exchange: Exchange) -> Exchange {
     let data_centre = &known.server.data_centre;
     let reach = relay.context.topology.reach(data_centre);
     relay.traffic.count_send(reach, call.body.len());
-    exchange.count_into(relay.traffic.answers(reach));
+    exchange.count_into(relay.traffic.answer_byte_counter(reach));
     if let Some(took) = exchange.connect {
         relay.distances().note(data_centre, took, Instant::now());
     }
@@ -237,9 +239,9 @@
 
 /// Notes that a send or a stream broke off. Silence alone is what load does as well: reports asked for it
 /// would add to it.
-pub(super) fn record_fault(relay: &Relay, known: &Known, is_silent: bool) {
+pub(super) fn record_fault(relay: &Relay, known: &Known, timed_out: bool) {
     record_failure(relay, known);
-    if !is_silent {
+    if !timed_out {
         relay.servers.doubt(known);
     }
 }
@@ -253,7 +255,7 @@
 }
 
 /// Records what a server asks of this box with an answer: a limit, a pause, or nothing more as it leaves.
-fn record_restraints(relay: &Relay, known: &Known, head: &ReplyHead) {
+fn record_server_notices(relay: &Relay, known: &Known, head: &ReplyHead) {
     record_limit(relay, known, head);
     if let Some(pause) = head.requested_pause {
         let service = &known.server.service;
@@ -267,8 +269,8 @@
 /// Records what an answer says of its server's limit. Only an answer that the server vouches for shows that its limit
 /// has ended.
 fn record_limit(relay: &Relay, known: &Known, head: &ReplyHead) {
-    let is_silent = head.limit_notice == LimitNotice::None;
-    if is_silent && (!(head.matches_request && head.signed) || relay.throttles().is_empty()) {
+    let names_no_limit = head.limit_notice == LimitNotice::None;
+    if names_no_limit && (!(head.matches_request && head.signed) || relay.throttles().is_empty()) {
         return;
     }
     let server = known.key();
@@ -290,7 +292,7 @@
     relay.loads().note(known.key(), requests, Instant::now());
 }
 
-fn request(
+fn build_request(
     relay: &Relay,
     call: &Call,
     known: &Known,
@@ -312,7 +314,7 @@
 }
 
 /// What becomes of what runs on a server that has started again: the same as at a crash.
-pub(super) fn restarted() -> SendFault {
+pub(super) fn restart_fault() -> SendFault {
     SendFault::Broke("the backend server has started again".to_owned())
 }
 
--- a/src/relay/attempts.rs
+++ b/src/relay/attempts.rs
@@ -21,76 +21,75 @@
 use crate::telemetry::volume;
 
 /// The part of its objective a request needs to be worth sending at all.
-const LEAST_LEFT: u32 = 10;
+const MIN_TIME_LEFT_DIVISOR: u32 = 10;
 
 /// Sends that did not reach any server before a call is given up.
-const UNREACHED_LIMIT: u32 = 3;
+const MAX_UNREACHED: u32 = 3;
 
 /// Sends that servers refused before a call is given up: the others are likely full as well.
-const REFUSED_LIMIT: u32 = 3;
+const MAX_REFUSED: u32 = 3;
 
 /// How often a server is looked for where another call claimed the place that was found.
-const CLAIMS: u32 = 3;
+const MAX_CLAIM_ATTEMPTS: u32 = 3;
 
 /// When to come back if no backend server is there at all: about the time one takes to appear.
-const ABSENT_WAIT: Duration = Duration::from_millis(1_000);
+const NO_SERVER_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
 /// When to come back after servers refused, at least and at most.
-const REFUSED_WAIT: (Duration, Duration) =
+const REFUSED_RETRY_AFTER: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_millis(1_500));
 
 /// All sends of one call.
 pub struct CallAttempts {
     service: ServiceName,
-    tried: Vec<BackendId>,
+    tried_servers: Vec<BackendId>,
     /// Sends that may have run, or are under way.
-    sent: u32,
+    maybe_run: u32,
     /// Sends that reached a server, whatever came of them.
-    arrived: u32,
+    reached: u32,
     /// Sends that reached none.
     unreached: u32,
     /// Sends that a server refused.
     refused: u32,
-    unknown: Option<SendFailure>,
-    last: Option<SendFailure>,
+    unknown_outcome: Option<SendFailure>,
+    last_failure: Option<SendFailure>,
     /// The server from which the one chosen last is to copy a part of the prompt.
     prefix_source: Option<SocketAddr>,
     /// What the server chosen last has to read.
-    reading: Reading,
+    prefill_work: PrefillWork,
     /// How far it is.
     reach: Reach,
     /// Which release the next send goes to.
-    choice: ReleaseChoice,
+    release_choice: ReleaseChoice,
 }
 
 /// What a server has to read of a prompt, as far as this box knows.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Reading {
+pub struct PrefillWork {
     /// Prompt tokens.
     pub tokens: u64,
     /// Those of them that no other request shares.
-    pub own: u64,
+    pub unshared_tokens: u64,
     /// Whether none of this box's requests stands before it.
-    pub is_clear: bool,
+    pub is_queue_empty: bool,
 }
 
 impl CallAttempts {
     /// No send yet.
     pub fn new(service: ServiceName) -> Self {
-        let tried = Vec::new();
         Self {
             service,
-            tried,
-            sent: 0,
-            arrived: 0,
+            tried_servers: Vec::new(),
+            maybe_run: 0,
+            reached: 0,
             unreached: 0,
             refused: 0,
-            unknown: None,
-            last: None,
+            unknown_outcome: None,
+            last_failure: None,
             prefix_source: None,
-            reading: Reading::default(),
+            prefill_work: PrefillWork::default(),
             reach: Reach::Local,
-            choice: ReleaseChoice::default(),
+            release_choice: ReleaseChoice::default(),
         }
     }
 
@@ -105,64 +104,65 @@
     }
 
     /// What the server chosen last has to read.
-    pub fn reading(&self) -> Reading {
-        self.reading
+    pub fn prefill_work(&self) -> PrefillWork {
+        self.prefill_work
     }
 
     /// Whether a call may be sent once more although an earlier send may have run.
-    pub fn may_repeat(&self, route: &Route) -> bool {
-        route.repeat.is_repeatable() && self.sent < route.attempts
+    pub fn may_retry(&self, route: &Route) -> bool {
+        route.repeat.is_repeatable() && self.maybe_run < route.attempts
     }
 
     /// The server for the next send.
     ///
     /// # Errors
     /// The call's failure, when it may not be sent again, cannot, or is not worth it.
-    pub fn next(
+    pub fn next_server(
         &mut self,
         relay: &Relay,
         call: &Call,
         route: &Route,
     ) -> Result<Arc<Known>, Failure> {
-        if self.unknown.is_some() && !route.repeat.is_repeatable() {
-            return Err(self.failure(relay));
+        if self.unknown_outcome.is_some() && !route.repeat.is_repeatable() {
+            return Err(self.final_failure(relay));
         }
-        let needed = (route.objective / LEAST_LEFT).min(route.timeout / LEAST_LEFT);
-        let hopeless = self.unreached >= UNREACHED_LIMIT || self.refused >= REFUSED_LIMIT;
-        if call.time_left() <= needed || hopeless {
-            return Err(self.failure(relay));
+        let min_time_left =
+            (route.objective / MIN_TIME_LEFT_DIVISOR).min(route.timeout / MIN_TIME_LEFT_DIVISOR);
+        let gives_up = self.unreached >= MAX_UNREACHED || self.refused >= MAX_REFUSED;
+        if call.time_left() <= min_time_left || gives_up {
+            return Err(self.final_failure(relay));
         }
-        if self.sent >= route.attempts.max(1) {
-            return Err(self.failure(relay));
+        if self.maybe_run >= route.attempts.max(1) {
+            return Err(self.final_failure(relay));
         }
-        let Some(known) = self.pick_by_release(relay, call, route) else {
-            return Err(self.failure(relay));
+        let Some(known) = self.pick_server(relay, call, route) else {
+            return Err(self.final_failure(relay));
         };
         // What ended the server of an earlier send would end the next one's as well.
-        if self.arrived > 0 && quarantine::check(relay, call).is_err() {
-            return Err(self.failure(relay));
+        if self.reached > 0 && quarantine::check(relay, call).is_err() {
+            return Err(self.final_failure(relay));
         }
-        if self.arrived > 0 && !relay.retries().spend(&self.service) {
-            return Err(self.failure(relay));
+        if self.reached > 0 && !relay.retries().spend(&self.service) {
+            return Err(self.final_failure(relay));
         }
         let limit = restraint::limit(relay, &known);
-        if self.arrived > 0 || limit.is_some() || volume::allows_ordinary() {
+        if self.reached > 0 || limit.is_some() || volume::allows_ordinary() {
             tracing::info!(
                 event = "server_chosen", id = call.head.id, backend_server = %known.server.id,
                 requests = known.requests(), unread = known.unread(), slots = known.server.slots,
                 reach = %self.reach, load_age_ms = known.state.load().map(|load| load.at.elapsed().as_millis() as u64),
-                send = self.arrived + 1, limit = limit.map(tracing::field::display),
+                send = self.reached + 1, limit = limit.map(tracing::field::display),
             );
         }
-        self.record_spill(relay);
-        self.sent += 1;
-        self.arrived += 1;
-        self.tried.push(known.server.id.clone());
+        self.track_spill(relay);
+        self.maybe_run += 1;
+        self.reached += 1;
+        self.tried_servers.push(known.server.id.clone());
         Ok(known)
     }
 
     /// Notes whether the send leaves the region; one line when such sends begin and end to be many.
-    fn record_spill(&self, relay: &Relay) {
+    fn track_spill(&self, relay: &Relay) {
         if !relay.context.topology.is_split() {
             return;
         }
@@ -185,55 +185,56 @@
         );
         match &failure {
             SendFailure::NotRun { arrived: false, .. } => {
-                self.sent -= 1;
-                self.arrived -= 1;
+                self.maybe_run -= 1;
+                self.reached -= 1;
                 self.unreached += 1;
             }
             SendFailure::NotRun { arrived: true, .. } => {
-                self.sent -= 1;
+                self.maybe_run -= 1;
                 self.refused += 1;
             }
-            SendFailure::Unknown { .. } => self.unknown = Some(failure.clone()),
+            SendFailure::Unknown { .. } => self.unknown_outcome = Some(failure.clone()),
         }
-        self.last = Some(failure);
+        self.last_failure = Some(failure);
     }
 
     /// What is said of the call: that it has not run only if no send may have run. One that was given up
     /// without an answer, for a server that refused then, may still be running.
-    pub fn failure(&self, relay: &Relay) -> Failure {
-        if let Some(SendFailure::Unknown { kind, detail }) = &self.unknown {
+    pub fn final_failure(&self, relay: &Relay) -> Failure {
+        if let Some(SendFailure::Unknown { kind, detail }) = &self.unknown_outcome {
             return Failure::new(*kind, detail.clone());
         }
-        if self.sent > 0 {
+        if self.maybe_run > 0 {
             return Failure::new(Kind::BackendTimeout, "a server that did not answer was given up");
         }
         let servers = relay.servers.of(&self.service);
-        let wait = self.restrained_wait(relay, &servers);
-        let Some(last) = &self.last else {
+        let wait = self.restraint_wait(relay, &servers);
+        let Some(last) = &self.last_failure else {
             let text = format!("no backend server of {} takes work", self.service);
-            return Failure::new(Kind::NoBackend, text).after(Some(wait.unwrap_or(ABSENT_WAIT)));
+            return Failure::new(Kind::NoBackend, text)
+                .after(Some(wait.unwrap_or(NO_SERVER_RETRY_AFTER)));
         };
-        let wait = wait.unwrap_or_else(|| refused_wait(&servers));
+        let wait = wait.unwrap_or_else(|| queue_wait(&servers));
         Failure::new(Kind::NotReached, last.detail()).after(Some(wait))
     }
 
     /// When to come back where all servers that are there are left alone for now: when the first of them no longer
     /// is. Another box may send to them earlier.
-    fn restrained_wait(&self, relay: &Relay, servers: &[Arc<Known>]) -> Option<Duration> {
+    fn restraint_wait(&self, relay: &Relay, servers: &[Arc<Known>]) -> Option<Duration> {
         let restraints = Restraints::now(relay, &self.service);
         let mut open = servers.iter().filter(|known| known.is_open());
         if open.any(|known| restraints.allows(known)) {
             return None;
         }
         let wait = restraint::wait(relay, &self.service)?;
-        Some(wait.clamp(REFUSED_WAIT.0, REFUSED_WAIT.1))
+        Some(wait.clamp(REFUSED_RETRY_AFTER.0, REFUSED_RETRY_AFTER.1))
     }
 
     /// A server to which a run may be moved: another one of the same release, in another data centre if
     /// there is one. Its memory leaves the region only where nobody in it has room: with a data centre go all
     /// its runs at once, and those that stay would crowd the few servers left. A moved run is still the same
     /// run, so this is no further send.
-    pub fn target(&self, relay: &Relay, source: &Known) -> Option<Arc<Known>> {
+    pub fn move_target(&self, relay: &Relay, source: &Known) -> Option<Arc<Known>> {
         let topology = &relay.context.topology;
         let region = topology.region_or_own(&source.server.data_centre);
         let servers = relay.servers.of(&self.service);
@@ -249,47 +250,58 @@
             })
             .collect();
         let requests: f64 = open.iter().map(|known| f64::from(known.requests())).sum();
-        let usual = requests / open.len().max(1) as f64;
+        let mean_requests = requests / open.len().max(1) as f64;
         let is_near = |known: &Known| {
             topology.region_or_own(&known.server.data_centre) == region
-                && has_room(f64::from(known.requests()), known.server.slots, usual)
+                && has_room(f64::from(known.requests()), known.server.slots, mean_requests)
         };
         let has_near = topology.is_split() && open.iter().any(|known| is_near(known));
-        let elsewhere = |known: &Known| known.server.data_centre != source.server.data_centre;
-        let wanted = open.into_iter().filter(|known| !has_near || is_near(known));
-        let found = wanted.min_by_key(|known| (!elsewhere(known), known.requests()));
+        let in_other_data_centre =
+            |known: &Known| known.server.data_centre != source.server.data_centre;
+        let eligible = open.into_iter().filter(|known| !has_near || is_near(known));
+        let found = eligible.min_by_key(|known| (!in_other_data_centre(known), known.requests()));
         found.filter(|known| restraint::claim(relay, known)).cloned()
     }
 
     /// A server of the release that gets this send; one of the release in force where none of the release
     /// that is being tried takes it.
-    fn pick_by_release(&mut self, relay: &Relay, call: &Call, route: &Route) -> Option<Arc<Known>> {
-        let is_first = self.tried.is_empty();
-        self.choice = relay.releases().choose(&self.service, is_first, Instant::now());
-        if let Some(known) = self.pick(relay, call, route) {
+    fn pick_server(&mut self, relay: &Relay, call: &Call, route: &Route) -> Option<Arc<Known>> {
+        let is_first = self.tried_servers.is_empty();
+        self.release_choice = relay.releases().choose(&self.service, is_first, Instant::now());
+        if let Some(known) = self.pick_of_release(relay, call, route) {
             return Some(known);
         }
-        let other = relay.releases().fall_back(&self.service, &self.choice);
-        if other.release == self.choice.release {
+        let other = relay.releases().fall_back(&self.service, &self.release_choice);
+        if other.release == self.release_choice.release {
             return None;
         }
-        self.choice = other;
-        self.pick(relay, call, route)
+        self.release_choice = other;
+        self.pick_of_release(relay, call, route)
     }
 
-    fn pick(&mut self, relay: &Relay, call: &Call, route: &Route) -> Option<Arc<Known>> {
-        let (service, choice, tried) = (&self.service, &self.choice, &self.tried[..]);
+    fn pick_of_release(&mut self, relay: &Relay, call: &Call, route: &Route) -> Option<Arc<Known>> {
+        let (service, release_choice) = (&self.service, &self.release_choice);
+        let tried_servers = &self.tried_servers[..];
         let (engine, model) = (relay.engine_spec(service), relay.engines().model(service));
         let pick = |_| {
             let restraints = &Restraints::now(relay, service);
-            let picker =
-                Picker { relay, call, route, service, engine, model, choice, tried, restraints };
+            let picker = Picker {
+                relay,
+                call,
+                route,
+                service,
+                engine,
+                model,
+                release_choice,
+                tried_servers,
+                restraints,
+            };
             let picked = picker.pick()?;
             restraint::claim(relay, &picked.known).then_some(picked)
         };
-        let picked = (0..CLAIMS).find_map(pick)?;
+        let picked = (0..MAX_CLAIM_ATTEMPTS).find_map(pick)?;
         self.prefix_source = picked.prefix_source;
-        self.reading = picked.reading;
+        self.prefill_work = picked.prefill_work;
         self.reach = picked.reach;
         Some(picked.known)
     }
@@ -297,7 +309,7 @@
 
 /// When a place is likely free: the servers' mean time for a request over their places, times those
 /// that stand in line.
-fn refused_wait(servers: &[Arc<Known>]) -> Duration {
+fn queue_wait(servers: &[Arc<Known>]) -> Duration {
     let open = servers.iter().filter(|known| known.is_open());
     let (mut slots, mut waiting, mut time, mut count) = (0.0, 1.0, 0.0, 0.0);
     for known in open {
@@ -307,9 +319,9 @@
         count += 1.0;
     }
     if slots == 0.0 {
-        return ABSENT_WAIT;
+        return NO_SERVER_RETRY_AFTER;
     }
     let mean: f64 = time / f64::max(count, 1.0);
     let wait = Duration::from_secs_f64((waiting / slots * mean).min(60.0));
-    wait.clamp(REFUSED_WAIT.0, REFUSED_WAIT.1)
+    wait.clamp(REFUSED_RETRY_AFTER.0, REFUSED_RETRY_AFTER.1)
 }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -95,7 +95,7 @@
 use offered::OfferedTracker;
 use servers::ServerTable;
 use table::{EngineSpec, RouteTable};
-use traffic::Traffic;
+use traffic::TrafficCounters;
 use usage::UsageCounter;
 
 /// What a relay starts with.
@@ -143,7 +143,7 @@
     /// The exchanges that broke off, until it is known whether their servers have ended.
     pub ends: EndWatch,
     /// What went to backend servers and came back.
-    pub traffic: Traffic,
+    pub traffic: TrafficCounters,
     /// Relays that share the limits, as the leader last said; 0 before it did.
     relay_count: AtomicU32,
     /// Told of new routes and backend servers.
@@ -186,7 +186,7 @@
             throttles: Mutex::default(),
             pauses: Mutex::default(),
             ends: EndWatch::default(),
-            traffic: Traffic::default(),
+            traffic: TrafficCounters::default(),
             relay_count: AtomicU32::new(0),
             routes_or_servers_changed: Notify::new(),
             index_changed: Notify::new(),
--- a/src/relay/moving.rs
+++ b/src/relay/moving.rs
@@ -20,7 +20,7 @@
 use super::call::{Call, KvCacheExport, MoveReply};
 use super::known::Known;
 use super::quarantine;
-use super::stream::{Opening, Progress, Source, next, open};
+use super::stream::{EventSource, StartOutcome, StreamProgress, next_events, start_stream};
 use super::table::{EngineSpec, Route};
 use crate::backend::{Reuse, SendFault};
 use crate::blackboard::fleet::Leaving;
@@ -29,31 +29,31 @@
 use crate::units::Tokens;
 
 /// How long a server may take to stop a run and copy its memory, and then to end its stream.
-const MOVE_TIME: Duration = Duration::from_millis(1_500);
+const MOVE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// Bytes of its answer at most.
-const ANSWER_LIMIT: usize = 64 << 10;
+const MAX_REPLY_BYTES: usize = 64 << 10;
 
 /// Copies that one copy waits for on the links, and the two ends of a link between data centres.
-const COPIES_AHEAD: f64 = 8.0;
+const CONCURRENT_COPIES: f64 = 8.0;
 
 /// The part of the most that may come out which is taken to come out.
-const LIKELY_PART: f64 = 0.7;
+const EXPECTED_OUTPUT_SHARE: f64 = 0.7;
 
 /// What came of a move.
-pub(super) enum Moved {
+pub(super) enum MoveOutcome {
     /// Another server goes on; events that came meanwhile.
-    Elsewhere(Bytes, Box<Source>),
+    Moved(Bytes, Box<EventSource>),
     /// The stream ended by itself meanwhile; its last events.
     Ended(Bytes),
     /// Nothing was moved, and the stream goes on where it is; events that came meanwhile.
-    Stays(Bytes),
+    NotMoved(Bytes),
     /// The run was stopped and nobody could go on with it; events that came before.
     Lost(Bytes),
 }
 
 /// Waits until the server that is followed is leaving; for ever where none is.
-pub(super) async fn leaving_of(
+pub(super) async fn wait_until_leaving(
     following: &mut Option<watch::Receiver<Option<Leaving>>>,
 ) -> Leaving {
     let Some(following) = following else {
@@ -70,11 +70,11 @@
 }
 
 /// Whether a stream is better moved than finished where it is.
-pub(super) fn is_worth(
+pub(super) fn is_worth_moving(
     relay: &Relay,
     call: &Call,
     service: &ServiceName,
-    source: &Source,
+    source: &EventSource,
     events: u64,
     leaving: &Leaving,
 ) -> bool {
@@ -83,13 +83,13 @@
         return false;
     };
     let delivered = events * spec.event.0;
-    let likely = (size.max_output_tokens as f64 * LIKELY_PART) as u64;
+    let expected_output = (size.max_output_tokens as f64 * EXPECTED_OUTPUT_SHARE) as u64;
     let facts = StreamFacts {
         notice: leaving.gone.saturating_duration_since(Instant::now()),
         prompt: Tokens(size.prompt_tokens),
         delivered: Tokens(delivered),
-        remaining: Tokens(likely).less(Tokens(delivered)),
-        between: source.began.elapsed() / u32::try_from(delivered.max(1)).unwrap_or(u32::MAX),
+        remaining: Tokens(expected_output).less(Tokens(delivered)),
+        between: source.sent_at.elapsed() / u32::try_from(delivered.max(1)).unwrap_or(u32::MAX),
         export: export_time(&spec, size.prompt_tokens + delivered),
         // The move keeps it one run.
         repeatable: true,
@@ -99,38 +99,40 @@
 
 fn export_time(spec: &EngineSpec, tokens: u64) -> Duration {
     match spec.copy_rate > 0.0 {
-        true => Duration::from_secs_f64((tokens as f64 / spec.copy_rate * COPIES_AHEAD).min(60.0)),
+        true => {
+            Duration::from_secs_f64((tokens as f64 / spec.copy_rate * CONCURRENT_COPIES).min(60.0))
+        }
         false => Duration::MAX,
     }
 }
 
 /// Moves a stream to another server.
-pub(super) async fn move_away(
+pub(super) async fn move_stream(
     relay: &Relay,
     call: &Call,
     route: &Route,
     attempts: &CallAttempts,
-    source: &mut Source,
-    progress: &mut Progress,
-) -> Moved {
+    source: &mut EventSource,
+    progress: &mut StreamProgress,
+) -> MoveOutcome {
     let known = source.flight.known().clone();
     if quarantine::check(relay, call).is_err() {
-        return Moved::Stays(Bytes::new());
+        return MoveOutcome::NotMoved(Bytes::new());
     }
-    let Some(target) = attempts.target(relay, &known) else {
-        return Moved::Stays(Bytes::new());
+    let Some(target) = attempts.move_target(relay, &known) else {
+        return MoveOutcome::NotMoved(Bytes::new());
     };
     let mut ready = BytesMut::new();
     let mut answer = None;
     let mut end = None;
     {
-        let mut asking = std::pin::pin!(ask(relay, call, &known, target.server.addr));
+        let mut exporting = std::pin::pin!(request_export(relay, call, &known, target.server.addr));
         while answer.is_none() || end.is_none() {
             tokio::select! {
-                answered = &mut asking, if answer.is_none() => answer = Some(answered),
-                came = next(source, progress, MOVE_TIME), if end.is_none() => match came {
+                answered = &mut exporting, if answer.is_none() => answer = Some(answered),
+                came = next_events(source, progress, MOVE_TIMEOUT), if end.is_none() => match came {
                     Ok(Some(events)) => ready.extend_from_slice(&events),
-                    Ok(None) => return Moved::Ended(ready.freeze()),
+                    Ok(None) => return MoveOutcome::Ended(ready.freeze()),
                     Err(fault) => end = Some(fault),
                 },
             }
@@ -141,60 +143,60 @@
     }
     let Some(Some((status, handle))) = answer else {
         return match end {
-            None => Moved::Stays(ready.freeze()),
-            Some(_) => Moved::Lost(ready.freeze()),
+            None => MoveOutcome::NotMoved(ready.freeze()),
+            Some(_) => MoveOutcome::Lost(ready.freeze()),
         };
     };
     tracing::info!(
         event = "stream_stopped_to_move", id = call.head.id, from = %known.server.id,
-        to = %target.server.id, status = status.as_u16(), last = progress.last,
+        to = %target.server.id, status = status.as_u16(), last = progress.last_event_id,
         end = end.as_ref().map(SendFault::to_string),
     );
     let export = KvCacheExport { source: known.server.addr, handle };
     // Without room at the target, the source keeps the memory and may go on itself.
-    let places = match status.is_success() {
+    let candidates = match status.is_success() {
         true => [&target, &known],
         false => [&known, &known],
     };
-    for place in places {
+    for candidate in candidates {
         let start = StartState {
-            last_event_id: progress.last,
+            last_event_id: progress.last_event_id,
             prefix_source: None,
             kv_export: Some(&export),
         };
-        match open(relay, call, route, place, start).await {
-            Ok(Opening::Stream(opened)) => {
+        match start_stream(relay, call, route, candidate, start).await {
+            Ok(StartOutcome::Stream(opened)) => {
                 relay.context.metrics.count_resume("moved");
                 tracing::info!(
-                    event = "stream_moved", id = call.head.id, backend_server = %place.server.id,
-                    last = progress.last,
+                    event = "stream_moved", id = call.head.id, backend_server = %candidate.server.id,
+                    last = progress.last_event_id,
                 );
                 let (mut moved, first) = opened.into_parts();
-                if progress.pass(&first) {
+                if progress.record_event(&first) {
                     ready.extend_from_slice(&first);
                 }
-                return match progress.take(&mut moved) {
+                return match progress.take_events(&mut moved) {
                     Ok(events) => {
                         ready.extend_from_slice(&events);
-                        Moved::Elsewhere(ready.freeze(), Box::new(moved))
+                        MoveOutcome::Moved(ready.freeze(), Box::new(moved))
                     }
-                    Err(_) => Moved::Lost(ready.freeze()),
+                    Err(_) => MoveOutcome::Lost(ready.freeze()),
                 };
             }
-            Ok(Opening::Whole(response, _)) => tracing::info!(
-                event = "move_refused", id = call.head.id, backend_server = %place.server.id,
+            Ok(StartOutcome::Whole(response, _)) => tracing::info!(
+                event = "move_refused", id = call.head.id, backend_server = %candidate.server.id,
                 status = response.status().as_u16(),
             ),
             Err(failure) => tracing::info!(
-                event = "move_refused", id = call.head.id, backend_server = %place.server.id, ?failure,
+                event = "move_refused", id = call.head.id, backend_server = %candidate.server.id, ?failure,
             ),
         }
     }
-    Moved::Lost(ready.freeze())
+    MoveOutcome::Lost(ready.freeze())
 }
 
 /// Asks a server to stop the run and copy it; the status and the copy's handle, if it names one.
-async fn ask(
+async fn request_export(
     relay: &Relay,
     call: &Call,
     source: &Known,
@@ -211,9 +213,9 @@
     request.headers_mut().extend(headers);
     let answered = async {
         let addr = source.server.addr;
-        let exchange = relay.context.pool.send(addr, request, MOVE_TIME, Reuse::Any).await?;
+        let exchange = relay.context.pool.send(addr, request, MOVE_TIMEOUT, Reuse::Any).await?;
         let status = exchange.status;
-        let body = exchange.read_whole(ANSWER_LIMIT, MOVE_TIME).await?;
+        let body = exchange.read_whole(MAX_REPLY_BYTES, MOVE_TIMEOUT).await?;
         Ok::<_, SendFault>((status, body))
     };
     match answered.await {
--- a/src/relay/pick.rs
+++ b/src/relay/pick.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use super::Relay;
-use super::attempts::Reading;
+use super::attempts::PrefillWork;
 use super::call::{Call, PromptSegment};
 use super::known::Known;
 use super::placed::{Placed, PlacedServer};
@@ -24,18 +24,18 @@
 
 /// Shared tokens from which on a part of a prompt is copied from the engine that keeps it: copying it
 /// takes a tenth of the time of reading it, and costs less.
-const FETCH_TOKENS: u64 = 100;
+const MIN_COPIED_TOKENS: u64 = 100;
 
 /// The part of what is copied that counts as cached. The rest stands for the cost of copying: an
 /// engine that keeps it is still the better choice.
-const FETCH_PART: f64 = 0.6;
+const COPIED_CACHE_SHARE: f64 = 0.6;
 
 /// How long an engine is taken to keep a part of a prompt that this box had read there.
-const CACHE_TIME: Duration = Duration::from_secs(30);
+const CACHE_LIFETIME: Duration = Duration::from_secs(30);
 
 /// How often some of a group are drawn until one of them takes the call: where a data centre's
 /// reclaimable servers are leaving, most of a group do not.
-const DRAWS: u32 = 3;
+const MAX_DRAWS: u32 = 3;
 
 /// What a send goes by.
 pub(super) struct Picker<'a> {
@@ -47,9 +47,9 @@
     pub(super) engine: Option<EngineSpec>,
     pub(super) model: EngineModel,
     /// Which release the send goes to.
-    pub(super) choice: &'a ReleaseChoice,
+    pub(super) release_choice: &'a ReleaseChoice,
     /// The servers that had the call before.
-    pub(super) tried: &'a [BackendId],
+    pub(super) tried_servers: &'a [BackendId],
     /// What servers asked of this box.
     pub(super) restraints: &'a Restraints,
 }
@@ -59,21 +59,21 @@
     pub(super) known: Arc<Known>,
     pub(super) reach: Reach,
     /// What it has to read.
-    pub(super) reading: Reading,
+    pub(super) prefill_work: PrefillWork,
     /// The server from which it is to copy a part of the prompt.
     pub(super) prefix_source: Option<SocketAddr>,
 }
 
 /// In each region, the server at which all its boxes expect the call's shared part: a part that is asked
 /// for in three regions is read three times, and never crosses.
-type Homes = Vec<Option<PlacedServer>>;
+type PrefixHomes = Vec<Option<PlacedServer>>;
 
 /// Servers, and what is known of each.
-struct Compared {
+struct Comparison {
     servers: Vec<PlacedServer>,
     candidates: Vec<Candidate>,
     /// From which server each would copy the call's shared part.
-    keepers: Vec<Option<PlacedServer>>,
+    prefix_sources: Vec<Option<PlacedServer>>,
 }
 
 impl Picker<'_> {
@@ -81,20 +81,20 @@
     pub(super) fn pick(&self) -> Option<Picked> {
         let placed = self.relay.servers.placed(self.service);
         let homes = self.homes(&placed);
-        let told = self.relay.servers.loaded(self.service);
-        let (compared, usual) = match compares_all(placed.all.len()) {
-            true => (self.compare(self.open(&placed), &homes), usual(&placed)),
+        let loaded = self.relay.servers.loaded(self.service);
+        let (compared, mean_requests) = match compares_all(placed.all.len()) {
+            true => (self.compare(self.available(&placed), &homes), mean_requests(&placed)),
             false => {
-                let usual = usual(&told);
-                (self.few(&placed, &told, usual, &homes), usual)
+                let mean_requests = mean_requests(&loaded);
+                (self.compare_sample(&placed, &loaded, mean_requests, &homes), mean_requests)
             }
         };
-        self.choose(compared, usual)
+        self.choose(compared, mean_requests)
     }
 
-    /// A service of few servers has one home for a part, whichever region asks: with some four servers in a
+    /// A service of sample servers has one home for a part, whichever region asks: with some four servers in a
     /// region each that comes or goes moves a quarter of all parts there, and its regions read them anew.
-    fn homes(&self, placed: &Placed) -> Homes {
+    fn homes(&self, placed: &Placed) -> PrefixHomes {
         let part = self.call.shared_prefix();
         match compares_all(placed.all.len()) {
             true => vec![part.and_then(|it| self.home(&placed.all, it)); placed.regions.len()],
@@ -105,92 +105,100 @@
     fn home(&self, servers: &[PlacedServer], part: PromptSegment) -> Option<PlacedServer> {
         let at = servers.partition_point(|it| it.known.hash < affinity(part.id, 0));
         let near = neighbours(servers.len(), at).into_iter().map(|place| &servers[place]);
-        // A server that limits itself takes a few of the calls that share a part.
+        // A server that limits itself takes a sample of the calls that share a part.
         let open =
-            near.filter(|it| self.may_take(&it.known) && !self.restraints.is_limited(&it.known));
+            near.filter(|it| self.is_eligible(&it.known) && !self.restraints.is_limited(&it.known));
         open.max_by_key(|it| affinity(part.id, it.known.hash)).cloned()
     }
 
-    /// A few of many servers: some of each group, whose loads the leader told where it told any, until one
+    /// A sample of many servers: some of each group, whose loads the leader told where it told any, until one
     /// of them has room; and the homes of the call's shared part in the regions looked at.
-    fn few(&self, placed: &Placed, told: &Placed, usual: Option<f64>, homes: &Homes) -> Compared {
-        let mut few: Vec<PlacedServer> = Vec::new();
+    fn compare_sample(
+        &self,
+        placed: &Placed,
+        loaded: &Placed,
+        mean_requests: Option<f64>,
+        homes: &PrefixHomes,
+    ) -> Comparison {
+        let mut sample: Vec<PlacedServer> = Vec::new();
         for (place, group) in placed.groups.iter().enumerate() {
-            let told = told.groups.get(place).filter(|told| !told.is_empty());
+            let loaded_group = loaded.groups.get(place).filter(|group| !group.is_empty());
             let is_remote = group.first().is_some_and(|it| it.reach == Reach::Remote);
             let homes_there = homes.iter().flatten();
             let homes_there = homes_there.filter(|it| (it.reach == Reach::Remote) == is_remote);
-            let some = self.some(told.unwrap_or(group));
-            for it in some.iter().chain(homes_there) {
-                if few.iter().all(|held| held.known.hash != it.known.hash) {
-                    few.push(it.clone());
+            let sampled = self.draw(loaded_group.unwrap_or(group));
+            for it in sampled.iter().chain(homes_there) {
+                if sample.iter().all(|held| held.known.hash != it.known.hash) {
+                    sample.push(it.clone());
                 }
             }
-            let compared = self.compare(few.clone(), homes);
-            if !looks_further(&compared.candidates, usual) {
+            let compared = self.compare(sample.clone(), homes);
+            if !looks_further(&compared.candidates, mean_requests) {
                 return compared;
             }
         }
-        self.compare(if few.is_empty() { self.open(placed) } else { few }, homes)
+        self.compare(if sample.is_empty() { self.available(placed) } else { sample }, homes)
     }
 
     /// Some of a group that take the call, drawn at random.
-    fn some(&self, group: &[PlacedServer]) -> Vec<PlacedServer> {
-        for _ in 0..DRAWS {
+    fn draw(&self, group: &[PlacedServer]) -> Vec<PlacedServer> {
+        for _ in 0..MAX_DRAWS {
             let drawn = drawn(group.len(), rand::random::<f64>);
-            let mut some: Vec<_> = drawn.into_iter().map(|place| group[place].clone()).collect();
-            some.retain(|it| self.may_take(&it.known));
-            if !some.is_empty() {
-                return some;
+            let mut takers: Vec<_> = drawn.into_iter().map(|place| group[place].clone()).collect();
+            takers.retain(|it| self.is_eligible(&it.known));
+            if !takers.is_empty() {
+                return takers;
             }
         }
         Vec::new()
     }
 
-    fn open(&self, placed: &Placed) -> Vec<PlacedServer> {
-        placed.all.iter().filter(|it| self.may_take(&it.known)).cloned().collect()
+    fn available(&self, placed: &Placed) -> Vec<PlacedServer> {
+        placed.all.iter().filter(|it| self.is_eligible(&it.known)).cloned().collect()
     }
 
     /// Whether a server takes this call.
-    fn may_take(&self, known: &Known) -> bool {
+    fn is_eligible(&self, known: &Known) -> bool {
         known.is_open()
-            && self.choice.takes(&known.server.release)
-            && !self.tried.contains(&known.server.id)
+            && self.release_choice.takes(&known.server.release)
+            && !self.tried_servers.contains(&known.server.id)
             && self.restraints.allows(known)
     }
 
     /// The server of those compared that is expected to begin the call first.
-    fn choose(&self, compared: Compared, usual: Option<f64>) -> Option<Picked> {
+    fn choose(&self, compared: Comparison, mean_requests: Option<f64>) -> Option<Picked> {
         let (candidates, random) = (&compared.candidates, rand::random::<f64>);
-        let place = match usual.filter(|_| self.relay.context.topology.is_split()) {
-            Some(usual) => choose_over_regions(&self.model, candidates, usual, random),
+        let place = match mean_requests.filter(|_| self.relay.context.topology.is_split()) {
+            Some(mean_requests) => {
+                choose_over_regions(&self.model, candidates, mean_requests, random)
+            }
             None => choose(&self.model, candidates, random),
         }?;
         let (chosen, candidate) = (&compared.servers[place], &compared.candidates[place]);
         let shared = self.call.shared_prefix().map_or(0, |part| part.tokens);
-        let reading = Reading {
+        let prefill_work = PrefillWork {
             tokens: candidate.uncached,
-            own: self.call.prompt_tokens().saturating_sub(shared),
-            is_clear: chosen.known.unread() == 0 && !candidate.ejected,
+            unshared_tokens: self.call.prompt_tokens().saturating_sub(shared),
+            is_queue_empty: chosen.known.unread() == 0 && !candidate.ejected,
         };
-        let keeper = compared.keepers[place].as_ref();
-        let fetch = keeper.filter(|_| !self.has_seen(&chosen.known));
+        let prefix_source = compared.prefix_sources[place].as_ref();
+        let fetch = prefix_source.filter(|_| !self.has_read_prefix(&chosen.known));
         Some(Picked {
             known: chosen.known.clone(),
             reach: chosen.reach,
-            reading,
-            prefix_source: fetch.map(|keeper| keeper.known.server.addr),
+            prefill_work,
+            prefix_source: fetch.map(|source| source.known.server.addr),
         })
     }
 
     /// What is known of servers.
-    fn compare(&self, servers: Vec<PlacedServer>, homes: &Homes) -> Compared {
+    fn compare(&self, servers: Vec<PlacedServer>, homes: &PrefixHomes) -> Comparison {
         let distances = self.distances(&servers);
         let placed = || servers.iter().zip(distances.iter().map(|distance| distance.time));
-        let seen: Vec<_> = placed().filter(|(it, _)| self.has_seen(&it.known)).collect();
-        let keeper = |(it, time)| self.keeper(it, time, &seen, homes).cloned();
-        let keepers: Vec<_> = placed().map(keeper).collect();
-        let has_seen = |it: &PlacedServer| seen.iter().any(|(at, _)| is_same(at, it));
+        let seen: Vec<_> = placed().filter(|(it, _)| self.has_read_prefix(&it.known)).collect();
+        let prefix_source = |(it, time)| self.prefix_source(it, time, &seen, homes).cloned();
+        let prefix_sources: Vec<_> = placed().map(prefix_source).collect();
+        let has_read_prefix = |it: &PlacedServer| seen.iter().any(|(at, _)| is_same_server(at, it));
         let stays = servers.iter().filter_map(|it| it.known.state.service_time());
         let stays: Vec<_> = stays.collect();
         let stay = (!stays.is_empty()).then(|| stays.iter().sum::<f64>() / stays.len() as f64);
@@ -203,7 +211,10 @@
         let candidate = |place: usize| {
             let it = &servers[place];
             let known = &it.known;
-            let cached = self.cached(has_seen(it) || is_home(it, homes), keepers[place].is_some());
+            let cached = self.cached_tokens(
+                has_read_prefix(it) || is_home(it, homes),
+                prefix_sources[place].is_some(),
+            );
             Candidate {
                 requests: others[place] + f64::from(known.state.in_flight()),
                 slots: known.server.slots,
@@ -216,7 +227,7 @@
             }
         };
         let candidates = (0..servers.len()).map(candidate).collect();
-        Compared { servers, candidates, keepers }
+        Comparison { servers, candidates, prefix_sources }
     }
 
     /// Which servers have memory left for the call, where their memory is known.
@@ -246,48 +257,51 @@
     }
 
     /// Prompt tokens of the call that a server need not read, which keeps the shared part or copies it.
-    fn cached(&self, keeps: bool, copies: bool) -> u64 {
+    fn cached_tokens(&self, keeps: bool, copies: bool) -> u64 {
         let Some(part) = self.call.shared_prefix() else {
             return 0;
         };
         match (keeps, copies) {
             (true, _) => part.tokens,
-            (false, true) => (part.tokens as f64 * FETCH_PART) as u64,
+            (false, true) => (part.tokens as f64 * COPIED_CACHE_SHARE) as u64,
             (false, false) => 0,
         }
     }
 
     /// Whether this box has lately had the call's shared part read there.
-    fn has_seen(&self, known: &Known) -> bool {
+    fn has_read_prefix(&self, known: &Known) -> bool {
         let part = self.call.shared_prefix();
-        part.is_some_and(|part| known.state.cached_blocks(&[part.id], CACHE_TIME) > 0)
+        part.is_some_and(|part| known.state.cached_blocks(&[part.id], CACHE_LIFETIME) > 0)
     }
 
     /// The server from which another one would copy the call's shared part: one of its region, or where
     /// none keeps it, one of another region if that saves more than it costs. Where this box has had it
     /// read, at the servers `seen`, is known; where all boxes expect it is a guess. Each stands with the
     /// milliseconds from this box there and back: between two regions it is that of the farther one.
-    fn keeper<'a>(
+    fn prefix_source<'a>(
         &self,
         it: &PlacedServer,
         time: f64,
         seen: &[(&'a PlacedServer, f64)],
-        homes: &'a Homes,
+        homes: &'a PrefixHomes,
     ) -> Option<&'a PlacedServer> {
-        let part = self.call.shared_prefix().filter(|part| part.tokens >= FETCH_TOKENS)?;
-        let home = homes.get(it.region).and_then(Option::as_ref).filter(|home| !is_same(home, it));
-        let mut others = seen.iter().filter(|(other, _)| !is_same(other, it));
+        let part = self.call.shared_prefix().filter(|part| part.tokens >= MIN_COPIED_TOKENS)?;
+        let home =
+            homes.get(it.region).and_then(Option::as_ref).filter(|home| !is_same_server(home, it));
+        let mut others = seen.iter().filter(|(other, _)| !is_same_server(other, it));
         let near = others.clone().find(|(other, _)| other.region == it.region);
         let near = near.map(|(other, _)| *other).or(home);
         near.or_else(|| {
-            let far = others.find(|(_, far)| self.copy_saves(part, time.max(*far)));
+            let far = others.find(|(_, far)| self.is_copy_worthwhile(part, time.max(*far)));
             let far = far.map(|(other, _)| *other);
-            far.or_else(|| first_home(it, part, homes).filter(|_| self.copy_saves(part, time)))
+            far.or_else(|| {
+                primary_home(it, part, homes).filter(|_| self.is_copy_worthwhile(part, time))
+            })
         })
     }
 
     /// Whether copying a shared part over a distance between regions saves more than it costs.
-    fn copy_saves(&self, part: PromptSegment, time: f64) -> bool {
+    fn is_copy_worthwhile(&self, part: PromptSegment, time: f64) -> bool {
         let Some(spec) = &self.engine else {
             return false;
         };
@@ -298,7 +312,7 @@
 }
 
 /// Requests that servers have, near and far; `None` where none is known.
-fn usual(placed: &Placed) -> Option<f64> {
+fn mean_requests(placed: &Placed) -> Option<f64> {
     let open = || placed.all.iter().filter(|it| it.known.is_open());
     let requests = open().map(|it| f64::from(it.known.requests()));
     let count = open().count();
@@ -307,19 +321,19 @@
 
 /// Of the homes of all regions, the one that has a part first: the others copy it from there, so that it is read
 /// once and not once a region, where that takes less time than reading it.
-fn first_home<'a>(
+fn primary_home<'a>(
     it: &PlacedServer,
     part: PromptSegment,
-    homes: &'a Homes,
+    homes: &'a PrefixHomes,
 ) -> Option<&'a PlacedServer> {
     let first = homes.iter().flatten().max_by_key(|home| affinity(part.id, home.known.hash));
-    first.filter(|home| !is_same(home, it))
+    first.filter(|home| !is_same_server(home, it))
 }
 
-fn is_home(it: &PlacedServer, homes: &Homes) -> bool {
-    homes.get(it.region).and_then(Option::as_ref).is_some_and(|home| is_same(home, it))
+fn is_home(it: &PlacedServer, homes: &PrefixHomes) -> bool {
+    homes.get(it.region).and_then(Option::as_ref).is_some_and(|home| is_same_server(home, it))
 }
 
-fn is_same(a: &PlacedServer, b: &PlacedServer) -> bool {
+fn is_same_server(a: &PlacedServer, b: &PlacedServer) -> bool {
     a.known.hash == b.known.hash
 }
--- a/src/relay/plain.rs
+++ b/src/relay/plain.rs
@@ -10,13 +10,13 @@
 use hyper::{HeaderMap, Response, StatusCode};
 
 use super::Relay;
-use super::attempt::{Reply, SendFailure, StartState, restarted, seconds_since, send};
+use super::attempt::{CheckedReply, SendFailure, StartState, restart_fault, seconds_since, send};
 use super::attempts::CallAttempts;
 use super::call::Call;
 use super::known::Known;
 use super::quarantine;
 use super::table::Route;
-use super::taking::FIRST_BYTES;
+use super::taking::UNCHARGED_BYTES;
 use crate::backend::SendFault;
 use crate::decide::engine::Observation;
 use crate::decide::memory::{Claim, Purpose, Reserved};
@@ -28,23 +28,23 @@
 use crate::ids::ServiceName;
 
 /// Bytes of an answer at most.
-const ANSWER_LIMIT: usize = 16 << 20;
+const MAX_ANSWER_BYTES: usize = 16 << 20;
 
 /// The longest that a piece of an answer is waited for; its call's time ends it earlier.
-const ANSWER_TIME: Duration = Duration::from_secs(3_600);
+const READ_TIMEOUT: Duration = Duration::from_secs(3_600);
 
 /// Time between two looks for room in a full box: others take their answers meanwhile.
-const ROOM_PAUSE: Duration = Duration::from_millis(20);
+const MEMORY_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 /// The part of the objective after which a repeatable request that has no answer goes to a second
 /// server: while that one can still be in time.
-const PATIENCE: f64 = 0.6;
+const HEDGE_DELAY_FACTOR: f64 = 0.6;
 
 /// The least time a server gets for an answer before a second one is tried.
-const LEAST_PATIENCE: Duration = Duration::from_millis(50);
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(50);
 
 /// Headers that concern one connection only.
-const HOP_HEADERS: [&str; 9] = [
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -58,7 +58,7 @@
 
 /// Removes the headers that concern one connection only, also those that `Connection` names, and the
 /// length, which is that of the bytes on that connection.
-pub fn strip_hop_headers(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(CONNECTION)
         .iter()
@@ -69,7 +69,7 @@
     for name in named {
         headers.remove(name.as_str());
     }
-    for name in HOP_HEADERS {
+    for name in HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
     headers.remove(CONTENT_LENGTH);
@@ -109,13 +109,13 @@
     let mut attempts = CallAttempts::new(service.clone());
     let mut failed: Option<Answer> = None;
     let mut running = FuturesUnordered::new();
-    let patience = tokio::time::sleep(patience(route));
-    tokio::pin!(patience);
-    let mut waited = false;
+    let hedge_delay = tokio::time::sleep(hedge_delay(route));
+    tokio::pin!(hedge_delay);
+    let mut hedged = false;
     loop {
         if running.is_empty() {
-            match attempts.next(relay, call, route) {
-                Ok(known) => running.push(pass(relay, call, route, known)),
+            match attempts.next_server(relay, call, route) {
+                Ok(known) => running.push(send_once(relay, call, route, known)),
                 // A server's own word that the request failed is worth more than ours.
                 Err(failure) => return failed.ok_or(failure),
             }
@@ -123,58 +123,63 @@
         tokio::select! {
             Some((known, result)) = running.next() => match result {
                 Ok((answer, false)) => return Ok(answer),
-                Ok((answer, true)) if !attempts.may_repeat(route) && running.is_empty() => {
+                Ok((answer, true)) if !attempts.may_retry(route) && running.is_empty() => {
                     return Ok(answer);
                 }
                 Ok((answer, true)) => failed = Some(answer),
                 Err(failure) => attempts.record_failure(call, &known, failure),
             },
-            () = &mut patience, if !waited && attempts.may_repeat(route) => {
-                waited = true;
-                if let Ok(known) = attempts.next(relay, call, route) {
-                    running.push(pass(relay, call, route, known));
+            () = &mut hedge_delay, if !hedged && attempts.may_retry(route) => {
+                hedged = true;
+                if let Ok(known) = attempts.next_server(relay, call, route) {
+                    running.push(send_once(relay, call, route, known));
                 }
             }
         }
     }
 }
 
-fn patience(route: &Route) -> Duration {
-    route.objective.mul_f64(PATIENCE).max(LEAST_PATIENCE)
+fn hedge_delay(route: &Route) -> Duration {
+    route.objective.mul_f64(HEDGE_DELAY_FACTOR).max(MIN_HEDGE_DELAY)
 }
 
-type Passed = Result<(Answer, bool), SendFailure>;
+type SendResult = Result<(Answer, bool), SendFailure>;
 
 /// Sends a call once; the answer, and whether the server says that it failed.
-async fn pass(
+async fn send_once(
     relay: &Relay,
     call: &Call,
     route: &Route,
     known: Arc<Known>,
-) -> (Arc<Known>, Passed) {
-    let passed = pass_to(relay, call, route, &known).await;
-    if let Err(SendFailure::Unknown { kind: Kind::BackendBroke, .. }) = &passed {
+) -> (Arc<Known>, SendResult) {
+    let result = send_and_read(relay, call, route, &known).await;
+    if let Err(SendFailure::Unknown { kind: Kind::BackendBroke, .. }) = &result {
         relay.ends.record_break(&known, call.fingerprint());
     }
-    (known, passed)
+    (known, result)
 }
 
-async fn pass_to(relay: &Relay, call: &Call, route: &Route, known: &Arc<Known>) -> Passed {
+async fn send_and_read(
+    relay: &Relay,
+    call: &Call,
+    route: &Route,
+    known: &Arc<Known>,
+) -> SendResult {
     let mut flight = known.begin(call.prompt_tokens(), call.max_tokens());
     let began = Instant::now();
     let limit = call.time_left();
     let result = tokio::time::timeout(limit, async {
         let reply = send(relay, call, route, known, StartState::default(), limit).await?;
-        read(relay, reply, ANSWER_LIMIT).await
+        read_whole(relay, reply, MAX_ANSWER_BYTES).await
     });
     let (answer, failed) = tokio::select! {
         // An answer that is there counts, whatever became of its server since.
         biased;
         result = result => match result {
             Ok(result) => result?,
-            Err(_) => return Err(SendFailure::of_fault(SendFault::TimedOut)),
+            Err(_) => return Err(SendFailure::from_fault(SendFault::TimedOut)),
         },
-        () = flight.ended() => return Err(SendFailure::of_fault(restarted())),
+        () = flight.ended() => return Err(SendFailure::from_fault(restart_fault())),
     };
     flight.begun();
     quarantine::record_success(relay, call);
@@ -199,34 +204,34 @@
 
 /// Reads an answer of at most `limit` bytes to its end, as there is room for it; whether the server says
 /// that the request failed.
-pub(super) async fn read(
+pub(super) async fn read_whole(
     relay: &Relay,
-    reply: Reply,
+    reply: CheckedReply,
     limit: usize,
 ) -> Result<(Answer, bool), SendFailure> {
-    let Reply { mut exchange, failed } = reply;
+    let CheckedReply { mut exchange, failed } = reply;
     let mut held = BytesMut::new();
     let mut charge = None;
     // Its whole length at once: answers that each had a part of their room would wait for each other.
-    if let Some(length) = length(&exchange.headers).filter(|it| *it > FIRST_BYTES) {
+    if let Some(length) = content_length(&exchange.headers).filter(|it| *it > UNCHARGED_BYTES) {
         if length > limit as u64 {
-            return Err(SendFailure::of_fault(SendFault::TooLarge(limit)));
+            return Err(SendFailure::from_fault(SendFault::TooLarge(limit)));
         }
-        make_room(relay, &mut charge, length).await?;
+        reserve_memory(relay, &mut charge, length).await?;
     }
-    while let Some(piece) = exchange.next(ANSWER_TIME).await.map_err(SendFailure::of_fault)? {
+    while let Some(piece) = exchange.next(READ_TIMEOUT).await.map_err(SendFailure::from_fault)? {
         if held.len() + piece.len() > limit {
-            return Err(SendFailure::of_fault(SendFault::TooLarge(limit)));
+            return Err(SendFailure::from_fault(SendFault::TooLarge(limit)));
         }
         let needed = (held.len() + piece.len()) as u64;
-        let room = charge.as_ref().map_or(FIRST_BYTES, Reserved::bytes);
+        let room = charge.as_ref().map_or(UNCHARGED_BYTES, Reserved::bytes);
         if needed > room {
-            make_room(relay, &mut charge, piece.len() as u64).await?;
+            reserve_memory(relay, &mut charge, piece.len() as u64).await?;
         }
         held.extend_from_slice(&piece);
     }
     let (status, mut headers) = (exchange.status, exchange.headers);
-    strip_hop_headers(&mut headers);
+    strip_hop_by_hop_headers(&mut headers);
     let body = match charge {
         Some(charge) => guarded(held.freeze(), charge),
         None => held.freeze(),
@@ -235,20 +240,20 @@
 }
 
 /// The length that an answer's head tells.
-fn length(headers: &HeaderMap) -> Option<u64> {
+fn content_length(headers: &HeaderMap) -> Option<u64> {
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
 /// Charges more of an answer, once there is room: it has run, so it is not refused.
 /// One that is larger than all the room there is will never be kept.
-async fn make_room(
+async fn reserve_memory(
     relay: &Relay,
     charge: &mut Option<Reserved>,
     bytes: u64,
 ) -> Result<(), SendFailure> {
     let whole = charge.as_ref().map_or(0, Reserved::bytes) + bytes;
     if whole > relay.memory.size() {
-        return Err(SendFailure::of_fault(SendFault::TooLarge(relay.memory.size() as usize)));
+        return Err(SendFailure::from_fault(SendFault::TooLarge(relay.memory.size() as usize)));
     }
     loop {
         let taken = match charge {
@@ -261,6 +266,6 @@
         if taken {
             return Ok(());
         }
-        tokio::time::sleep(ROOM_PAUSE).await;
+        tokio::time::sleep(MEMORY_RETRY_PAUSE).await;
     }
 }
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -14,7 +14,7 @@
 use super::attempt::{retry_limit, seconds_since};
 use super::call::{Call, CallHead};
 use super::keeping::{Kept, read_body};
-use super::plain::{self, strip_hop_headers};
+use super::plain::{self, strip_hop_by_hop_headers};
 use super::quarantine;
 use super::stream;
 use super::table::{Route, RouteTable, Team};
@@ -172,7 +172,8 @@
     let answered = match route.repeat.is_stream() {
         true => stream::answer(relay_kept, call_kept, route_kept, &service, kept).await,
         false => plain::answer(relay, &call, &route, &service).await.map(|answer| {
-            answer.response(|body| taking::answer(relay_kept, call_kept, route_kept, kept, body))
+            answer
+                .response(|body| taking::whole_body(relay_kept, call_kept, route_kept, kept, body))
         }),
     };
     match answered {
@@ -288,7 +289,7 @@
     deadline: Instant,
 ) -> Call {
     let (mut parts, ()) = request.into_parts();
-    strip_hop_headers(&mut parts.headers);
+    strip_hop_by_hop_headers(&mut parts.headers);
     parts.headers.remove(EXPECT);
     let path = parts.uri.path_and_query().cloned();
     let path = path.unwrap_or_else(|| PathAndQuery::from_static("/"));
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -11,14 +11,14 @@
 use hyper::{HeaderMap, Response, StatusCode};
 
 use super::Relay;
-use super::attempt::{SendFailure, StartState, record_fault, restarted, seconds_since, send};
+use super::attempt::{SendFailure, StartState, record_fault, restart_fault, seconds_since, send};
 use super::attempts::CallAttempts;
 use super::call::Call;
 use super::events::{EventCutter, event_id};
 use super::keeping::Kept;
 use super::known::{Flight, Known};
-use super::moving::{self, Moved, move_away};
-use super::plain::{read, strip_hop_headers};
+use super::moving::{self, MoveOutcome, move_stream};
+use super::plain::{read_whole, strip_hop_by_hop_headers};
 use super::quarantine;
 use super::table::{Repeat, Route};
 use super::taking;
@@ -32,48 +32,48 @@
 use crate::telemetry::volume;
 
 /// Bytes of a failed answer at most.
-const FAILURE_LIMIT: usize = 1 << 20;
+const MAX_FAILURE_BYTES: usize = 1 << 20;
 
 /// How long a stream that may be taken up elsewhere is silent before it is, in its longest pauses
 /// that are on time.
-const SILENCE_GAPS: u32 = 2;
+const SILENCE_GAP_FACTOR: u32 = 2;
 
 /// The least silence after which a stream is taken up elsewhere.
-const LEAST_SILENCE: Duration = Duration::from_millis(800);
+const MIN_SILENCE: Duration = Duration::from_millis(800);
 
 /// The part of the objective after which a stream that may be taken up elsewhere and has not begun
 /// goes to another server.
-const PATIENCE: f64 = 1.5;
+const START_TIMEOUT_FACTOR: f64 = 1.5;
 
 /// A stream that has begun at a server.
-pub(super) struct Opened {
+pub(super) struct StartedStream {
     status: StatusCode,
     headers: HeaderMap,
-    source: Source,
-    first: Bytes,
+    source: EventSource,
+    first_event: Bytes,
 }
 
-impl Opened {
+impl StartedStream {
     /// Where it comes from, and its first event.
-    pub(super) fn into_parts(self) -> (Source, Bytes) {
-        (self.source, self.first)
+    pub(super) fn into_parts(self) -> (EventSource, Bytes) {
+        (self.source, self.first_event)
     }
 }
 
 /// Where the events of a stream come from at the moment.
-pub(super) struct Source {
+pub(super) struct EventSource {
     exchange: Exchange,
     cutter: EventCutter,
     /// The request in flight to its server.
     pub(super) flight: Flight,
     /// When it was sent there.
-    pub(super) began: Instant,
+    pub(super) sent_at: Instant,
 }
 
 /// What an attempt to begin a stream came to.
-pub(super) enum Opening {
+pub(super) enum StartOutcome {
     /// It has begun.
-    Stream(Box<Opened>),
+    Stream(Box<StartedStream>),
     /// A whole answer that is no stream, and whether the server says that the request failed.
     Whole(Response<Body>, bool),
 }
@@ -91,12 +91,12 @@
 ) -> Result<Response<Body>, Failure> {
     let mut attempts = CallAttempts::new(service.clone());
     let mut failed = None;
-    let mut chosen = attempts.next(&relay, &call, &route)?;
+    let mut chosen = attempts.next_server(&relay, &call, &route)?;
     loop {
         let known = chosen.clone();
         // The connection to a server that is given up is closed before another one gets the call.
         let opened = {
-            let mut opening = pin!(open(
+            let mut opening = pin!(start_stream(
                 &relay,
                 &call,
                 &route,
@@ -105,8 +105,8 @@
             ));
             tokio::select! {
                 opened = &mut opening => Some(opened),
-                () = tokio::time::sleep(patience(&route)), if attempts.may_repeat(&route) => {
-                    match attempts.next(&relay, &call, &route) {
+                () = tokio::time::sleep(start_timeout(&route)), if attempts.may_retry(&route) => {
+                    match attempts.next_server(&relay, &call, &route) {
                         Ok(other) => {
                             chosen = other;
                             None
@@ -125,32 +125,32 @@
                 record_fault(&relay, &known, true);
                 continue;
             }
-            Some(Ok(Opening::Stream(opened))) => {
-                count(&relay, &call);
-                observe(&relay, &attempts, &opened);
+            Some(Ok(StartOutcome::Stream(opened))) => {
+                count_usage(&relay, &call);
+                record_time_to_first_event(&relay, &attempts, &opened);
                 return Ok(respond(relay, call, route, attempts, *opened, kept));
             }
-            Some(Ok(Opening::Whole(response, true))) if attempts.may_repeat(&route) => {
+            Some(Ok(StartOutcome::Whole(response, true))) if attempts.may_retry(&route) => {
                 failed = Some(response);
             }
-            Some(Ok(Opening::Whole(response, _))) => return Ok(response),
+            Some(Ok(StartOutcome::Whole(response, _))) => return Ok(response),
             Some(Err(failure)) => attempts.record_failure(&call, &known, failure),
         }
-        chosen = match attempts.next(&relay, &call, &route) {
+        chosen = match attempts.next_server(&relay, &call, &route) {
             Ok(known) => known,
             Err(failure) => return failed.ok_or(failure),
         };
     }
 }
 
-fn patience(route: &Route) -> Duration {
-    route.objective.mul_f64(PATIENCE)
+fn start_timeout(route: &Route) -> Duration {
+    route.objective.mul_f64(START_TIMEOUT_FACTOR)
 }
 
-fn silence(route: &Route, call: &Call) -> Duration {
-    let gap = route.gap.unwrap_or(LEAST_SILENCE) * SILENCE_GAPS;
+fn silence_limit(route: &Route, call: &Call) -> Duration {
+    let gap = route.gap.unwrap_or(MIN_SILENCE) * SILENCE_GAP_FACTOR;
     match route.repeat {
-        Repeat::ResumableStream => gap.max(LEAST_SILENCE).min(call.time_left()),
+        Repeat::ResumableStream => gap.max(MIN_SILENCE).min(call.time_left()),
         Repeat::Stream | Repeat::Safe | Repeat::Once => call.time_left(),
     }
 }
@@ -159,49 +159,49 @@
     StartState { last_event_id, prefix_source: attempts.prefix_source(), kv_export: None }
 }
 
-fn count(relay: &Relay, call: &Call) {
+fn count_usage(relay: &Relay, call: &Call) {
     if let Some(team) = &call.team {
         relay.usage().count(team, SystemTime::now());
     }
 }
 
 /// Notes how long the engine took to its first event.
-fn observe(relay: &Relay, attempts: &CallAttempts, opened: &Opened) {
-    let reading = attempts.reading();
+fn record_time_to_first_event(relay: &Relay, attempts: &CallAttempts, opened: &StartedStream) {
+    let prefill_work = attempts.prefill_work();
     let seen = Observation {
-        tokens: reading.tokens as f64,
-        own: reading.own as f64,
-        seconds: seconds_since(opened.source.began),
-        is_clear: reading.is_clear,
+        tokens: prefill_work.tokens as f64,
+        own: prefill_work.unshared_tokens as f64,
+        seconds: seconds_since(opened.source.sent_at),
+        is_clear: prefill_work.is_queue_empty,
     };
     relay.engines().note(attempts.service(), seen);
 }
 
-/// Seconds that a stream is expected to take: the reading of its prompt, and [`EVENT_TIME`] an event. Only
+/// Seconds that a stream is expected to take: the reading of its prompt, and [`ASSUMED_EVENT_TIME`] an event. Only
 /// the comparison of two releases goes by it, and both have the same error.
-fn expected_time(relay: &Relay, attempts: &CallAttempts, progress: &Progress) -> f64 {
+fn expected_time(relay: &Relay, attempts: &CallAttempts, progress: &StreamProgress) -> f64 {
     let model = relay.engines().model(attempts.service());
-    let read = model.base + model.read_time(attempts.reading().tokens as f64);
-    read + EVENT_TIME * progress.events as f64
+    let read = model.base + model.read_time(attempts.prefill_work().tokens as f64);
+    read + ASSUMED_EVENT_TIME * progress.events as f64
 }
 
 /// Seconds that a stream may take by its route: until its first event, and between two of them.
-fn allowed_time(route: &Route, progress: &Progress) -> f64 {
+fn allowed_time(route: &Route, progress: &StreamProgress) -> f64 {
     let gap = route.gap.unwrap_or(route.objective).as_secs_f64();
     route.objective.as_secs_f64() + gap * progress.events.saturating_sub(1) as f64
 }
 
 /// Seconds that an event of a stream is taken to need.
-const EVENT_TIME: f64 = 0.05;
+const ASSUMED_EVENT_TIME: f64 = 0.05;
 
 /// Begins a stream at a server: it has begun when its first event is whole.
-pub(super) async fn open(
+pub(super) async fn start_stream(
     relay: &Relay,
     call: &Call,
     route: &Route,
     known: &Arc<Known>,
     start: StartState<'_>,
-) -> Result<Opening, SendFailure> {
+) -> Result<StartOutcome, SendFailure> {
     let limit = call.time_left();
     let flight = known.begin(call.prompt_tokens(), call.max_tokens());
     let mut over = known.state.follow_end();
@@ -209,31 +209,32 @@
     let opening = async {
         let reply = send(relay, call, route, known, start, limit).await?;
         if !reply.exchange.status.is_success() {
-            let (answer, failed) = read(relay, reply, FAILURE_LIMIT).await?;
-            return Ok(Opening::Whole(answer.response(whole), failed));
+            let (answer, failed) = read_whole(relay, reply, MAX_FAILURE_BYTES).await?;
+            return Ok(StartOutcome::Whole(answer.response(whole), failed));
         }
         let exchange = reply.exchange;
-        let mut source = Source { exchange, cutter: EventCutter::default(), flight, began };
-        let first = first_event(&mut source, limit).await?;
+        let mut source =
+            EventSource { exchange, cutter: EventCutter::default(), flight, sent_at: began };
+        let first_event = read_first_event(&mut source, limit).await?;
         source.flight.begun();
         let status = source.exchange.status;
         let mut headers = source.exchange.headers.clone();
-        strip_hop_headers(&mut headers);
-        Ok(Opening::Stream(Box::new(Opened { status, headers, source, first })))
+        strip_hop_by_hop_headers(&mut headers);
+        Ok(StartOutcome::Stream(Box::new(StartedStream { status, headers, source, first_event })))
     };
     let opened = tokio::select! {
         // What is there counts, whatever became of its server since.
         biased;
         opened = tokio::time::timeout(limit, opening) => match opened {
             Ok(result) => result,
-            Err(_) => Err(SendFailure::of_fault(SendFault::TimedOut)),
+            Err(_) => Err(SendFailure::from_fault(SendFault::TimedOut)),
         },
-        Ok(_) = over.wait_for(|over| *over) => Err(SendFailure::of_fault(restarted())),
+        Ok(_) = over.wait_for(|over| *over) => Err(SendFailure::from_fault(restart_fault())),
     };
     match &opened {
-        Ok(Opening::Stream(_)) => {
+        Ok(StartOutcome::Stream(_)) => {
             if let Some(part) = call.shared_prefix() {
-                known.state.record_prefixes(&[part.id], PARTS_KEPT);
+                known.state.record_prefixes(&[part.id], MAX_PREFIXES_PER_SERVER);
             }
         }
         Err(SendFailure::Unknown { kind, .. }) => {
@@ -242,16 +243,16 @@
                 relay.ends.record_break(known, call.fingerprint());
             }
         }
-        Ok(Opening::Whole(..)) => quarantine::record_success(relay, call),
+        Ok(StartOutcome::Whole(..)) => quarantine::record_success(relay, call),
         Err(SendFailure::NotRun { .. }) => {}
     }
     opened
 }
 
 /// Parts of prompts remembered for each engine.
-const PARTS_KEPT: usize = 1_024;
+const MAX_PREFIXES_PER_SERVER: usize = 1_024;
 
-async fn first_event(source: &mut Source, limit: Duration) -> Result<Bytes, SendFailure> {
+async fn read_first_event(source: &mut EventSource, limit: Duration) -> Result<Bytes, SendFailure> {
     loop {
         match source.cutter.next_event() {
             Ok(Some(event)) => return Ok(event),
@@ -263,57 +264,65 @@
                 });
             }
         }
-        match source.exchange.next(limit).await.map_err(SendFailure::of_fault)? {
+        match source.exchange.next(limit).await.map_err(SendFailure::from_fault)? {
             Some(piece) => source.cutter.push(&piece),
             None => {
                 let fault = SendFault::Broke("the stream ended before its first event".to_owned());
-                return Err(SendFailure::of_fault(fault));
+                return Err(SendFailure::from_fault(fault));
             }
         }
     }
 }
 
 /// What a stream's caller has so far.
-pub(super) struct Progress {
+pub(super) struct StreamProgress {
     /// The last event.
-    pub(super) last: Option<u64>,
+    pub(super) last_event_id: Option<u64>,
     /// Events passed on.
     events: u64,
     /// When the first events came.
-    began: Instant,
+    first_event_at: Instant,
     /// When the last events came, and the longest time between two of them.
-    at: Instant,
-    pause: Duration,
+    last_event_at: Instant,
+    longest_gap: Duration,
     /// Whether the first event came late.
-    late: bool,
+    first_event_late: bool,
 }
 
-impl Progress {
-    fn new(last: Option<u64>) -> Self {
+impl StreamProgress {
+    fn new(last_event_id: Option<u64>) -> Self {
         let now = Instant::now();
-        Self { last, events: 0, began: now, at: now, pause: Duration::ZERO, late: false }
+        Self {
+            last_event_id,
+            events: 0,
+            first_event_at: now,
+            last_event_at: now,
+            longest_gap: Duration::ZERO,
+            first_event_late: false,
+        }
     }
 
     /// Whether the first event came late, or a pause was longer than the route allows.
     fn is_late(&self, route: &Route) -> bool {
-        self.late || route.gap.is_some_and(|gap| self.pause > gap)
+        self.first_event_late || route.gap.is_some_and(|gap| self.longest_gap > gap)
     }
 
     /// Has the learner of the service's engines take the stream's pace, where it came from one of them whole.
     fn record_pace(&self, relay: &Relay, service: &ServiceName, call: &Call) {
         if let (None, Some(size)) = (call.head.last_event_id, call.head.generation) {
-            let seconds = self.at.saturating_duration_since(self.began).as_secs_f64();
+            let seconds =
+                self.last_event_at.saturating_duration_since(self.first_event_at).as_secs_f64();
             relay.engines().record_stream(service, self.events, size.max_output_tokens, seconds);
         }
     }
 
     /// Takes the whole events that a source holds, without those the caller has already.
-    pub(super) fn take(&mut self, source: &mut Source) -> Result<Bytes, SendFault> {
+    pub(super) fn take_events(&mut self, source: &mut EventSource) -> Result<Bytes, SendFault> {
         let mut ready = BytesMut::new();
         loop {
             match source.cutter.next_event() {
                 Ok(Some(event)) => {
-                    if self.pass(&event) {
+                    if self.record_event(&event) {
                         ready.extend_from_slice(&event);
                     }
                 }
@@ -324,16 +333,16 @@
     }
 
     /// Whether an event is new to the caller.
-    pub(super) fn pass(&mut self, event: &[u8]) -> bool {
+    pub(super) fn record_event(&mut self, event: &[u8]) -> bool {
         self.events += 1;
-        self.pause = self.pause.max(self.at.elapsed());
-        self.at = Instant::now();
+        self.longest_gap = self.longest_gap.max(self.last_event_at.elapsed());
+        self.last_event_at = Instant::now();
         let Some(id) = event_id(event) else {
             return true;
         };
-        let new = self.last.is_none_or(|last| id > last);
+        let new = self.last_event_id.is_none_or(|last| id > last);
         if new {
-            self.last = Some(id);
+            self.last_event_id = Some(id);
         }
         new
     }
@@ -344,47 +353,47 @@
     call: Arc<Call>,
     route: Arc<Route>,
     mut attempts: CallAttempts,
-    opened: Opened,
+    opened: StartedStream,
     kept: Kept,
 ) -> Response<Body> {
-    let Opened { status, headers, mut source, first } = opened;
-    let mut progress = Progress::new(call.head.last_event_id);
-    progress.pass(&first);
-    progress.late = call.arrived.elapsed() > route.objective;
+    let StartedStream { status, headers, mut source, first_event } = opened;
+    let mut progress = StreamProgress::new(call.head.last_event_id);
+    progress.record_event(&first_event);
+    progress.first_event_late = call.arrived.elapsed() > route.objective;
     let passing = (relay.clone(), call.clone(), route.clone());
     let events = stream! {
-        yield Ok::<_, io::Error>(first);
-        let mut limit = silence(&route, &call);
+        yield Ok::<_, io::Error>(first_event);
+        let mut limit = silence_limit(&route, &call);
         let mut following = Some(source.flight.known().state.follow_leaving());
         loop {
             let step = tokio::select! {
-                leaving = moving::leaving_of(&mut following) => Err(leaving),
-                came = next(&mut source, &mut progress, limit.min(call.time_left())) => Ok(came),
+                leaving = moving::wait_until_leaving(&mut following) => Err(leaving),
+                came = next_events(&mut source, &mut progress, limit.min(call.time_left())) => Ok(came),
             };
             let came = match step {
                 Ok(came) => came,
                 Err(leaving) => {
                     following = None;
                     let service = attempts.service();
-                    if !moving::is_worth(&relay, &call, service, &source, progress.events, &leaving) {
+                    if !moving::is_worth_moving(&relay, &call, service, &source, progress.events, &leaving) {
                         continue;
                     }
-                    match move_away(&relay, &call, &route, &attempts, &mut source, &mut progress).await {
-                        Moved::Elsewhere(ready, moved) => {
+                    match move_stream(&relay, &call, &route, &attempts, &mut source, &mut progress).await {
+                        MoveOutcome::Moved(ready, moved) => {
                             source = *moved;
                             following = Some(source.flight.known().state.follow_leaving());
                             yield Ok(ready);
                             continue;
                         }
-                        Moved::Ended(ready) => {
+                        MoveOutcome::Ended(ready) => {
                             yield Ok(ready);
                             break;
                         }
-                        Moved::Stays(ready) => {
+                        MoveOutcome::NotMoved(ready) => {
                             yield Ok(ready);
                             continue;
                         }
-                        Moved::Lost(ready) => {
+                        MoveOutcome::Lost(ready) => {
                             yield Ok(ready);
                             Err(SendFault::Broke("the run could not be moved".to_owned()))
                         }
@@ -404,9 +413,9 @@
                     quarantine::record_success(&relay, &call);
                     relay.engines().record_served(attempts.service(), progress.is_late(&route));
                     progress.record_pace(&relay, attempts.service(), &call);
-                    known.state.succeed(seconds_since(source.began));
+                    known.state.succeed(seconds_since(source.sent_at));
                     known.state.succeed_route(&route.name);
-                    let seconds = seconds_since(source.began);
+                    let seconds = seconds_since(source.sent_at);
                     let pace = RelativeLatency {
                         to_expected: seconds / expected_time(&relay, &attempts, &progress),
                         to_allowed: seconds / allowed_time(&route, &progress),
@@ -418,7 +427,7 @@
             };
             record_break(&relay, &call, &route, &source, &progress, &fault);
             let other = match route.repeat {
-                Repeat::ResumableStream => attempts.next(&relay, &call, &route).ok(),
+                Repeat::ResumableStream => attempts.next_server(&relay, &call, &route).ok(),
                 Repeat::Stream | Repeat::Safe | Repeat::Once => None,
             };
             let Some(other) = other else {
@@ -428,7 +437,7 @@
                     continue;
                 }
                 tracing::warn!(
-                    event = "stream_cut", id = call.head.id, last = progress.last, detail = %fault,
+                    event = "stream_cut", id = call.head.id, last = progress.last_event_id, detail = %fault,
                 );
                 relay.context.metrics.count_attempt("-", "stream_cut");
                 yield Err(io::Error::other(fault.to_string()));
@@ -436,7 +445,7 @@
             };
             // Before another server goes on, the connection to this one is closed.
             drop(source);
-            match take_up(&relay, &call, &route, &mut attempts, &mut progress, other).await {
+            match resume_elsewhere(&relay, &call, &route, &mut attempts, &mut progress, other).await {
                 Some((ready, next)) => {
                     source = next;
                     if !ready.is_empty() {
@@ -451,31 +460,31 @@
         }
     };
     let (relay, call, route) = passing;
-    let mut response = Response::new(taking::stream(relay, call, route, kept, events));
+    let mut response = Response::new(taking::stream_body(relay, call, route, kept, events));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
 }
 
 /// The next whole events; `None` at the end of the stream. May be dropped and called again.
-pub(super) async fn next(
-    source: &mut Source,
-    progress: &mut Progress,
+pub(super) async fn next_events(
+    source: &mut EventSource,
+    progress: &mut StreamProgress,
     silence: Duration,
 ) -> Result<Option<Bytes>, SendFault> {
-    let ready = progress.take(source)?;
+    let ready = progress.take_events(source)?;
     if !ready.is_empty() {
         return Ok(Some(ready));
     }
     let came = tokio::select! {
         biased;
         came = source.exchange.next(silence) => came?,
-        () = source.flight.ended() => return Err(restarted()),
+        () = source.flight.ended() => return Err(restart_fault()),
     };
     match came {
         Some(piece) => {
             source.cutter.push(&piece);
-            progress.take(source).map(Some)
+            progress.take_events(source).map(Some)
         }
         None if source.cutter.is_inside() => {
             Err(SendFault::Broke("the stream ended inside an event".to_owned()))
@@ -486,12 +495,12 @@
 
 /// One line for a stream that ended well: always when a pause made it late, else as far as the volume
 /// of the log allows.
-fn record_end(call: &Call, route: &Route, known: &Known, progress: &Progress) {
+fn record_end(call: &Call, route: &Route, known: &Known, progress: &StreamProgress) {
     let late = progress.is_late(route);
     if late || volume::allows_ordinary() {
         tracing::info!(
             event = "stream_ended", id = call.head.id, backend_server = %known.server.id,
-            last = progress.last, late, pause_ms = progress.pause.as_millis() as u64,
+            last = progress.last_event_id, late, pause_ms = progress.longest_gap.as_millis() as u64,
             ms = call.arrived.elapsed().as_millis() as u64,
         );
     }
@@ -501,8 +510,8 @@
     relay: &Relay,
     call: &Call,
     route: &Route,
-    source: &Source,
-    progress: &Progress,
+    source: &EventSource,
+    progress: &StreamProgress,
     fault: &SendFault,
 ) {
     let known = source.flight.known();
@@ -513,41 +522,49 @@
     relay.record_outcome(known, &route.name, AnswerOutcome::Failed);
     tracing::info!(
         event = "stream_broke", id = call.head.id, request = %call.fingerprint(), route = route.name,
-        backend_server = %known.server.id, detail = %fault, last = progress.last,
+        backend_server = %known.server.id, detail = %fault, last = progress.last_event_id,
         resumable = route.repeat.is_repeatable(), left_ms = call.time_left().as_millis() as u64,
     );
 }
 
 /// Takes a stream up at other servers, beginning with `known`, behind the last event that its caller
 /// has.
-async fn take_up(
+async fn resume_elsewhere(
     relay: &Relay,
     call: &Call,
     route: &Route,
     attempts: &mut CallAttempts,
-    progress: &mut Progress,
+    progress: &mut StreamProgress,
     known: Arc<Known>,
-) -> Option<(Bytes, Source)> {
+) -> Option<(Bytes, EventSource)> {
     let mut known = known;
     loop {
-        match open(relay, call, route, &known, start_state(progress.last, attempts)).await {
-            Ok(Opening::Stream(opened)) => {
+        match start_stream(
+            relay,
+            call,
+            route,
+            &known,
+            start_state(progress.last_event_id, attempts),
+        )
+        .await
+        {
+            Ok(StartOutcome::Stream(opened)) => {
                 relay.context.metrics.count_resume("elsewhere");
                 tracing::info!(
                     event = "stream_taken_up", id = call.head.id,
-                    backend_server = %known.server.id, last = progress.last,
+                    backend_server = %known.server.id, last = progress.last_event_id,
                 );
-                let Opened { mut source, first, .. } = *opened;
+                let StartedStream { mut source, first_event, .. } = *opened;
                 let mut ready = BytesMut::new();
-                if progress.pass(&first) {
-                    ready.extend_from_slice(&first);
+                if progress.record_event(&first_event) {
+                    ready.extend_from_slice(&first_event);
                 }
-                ready.extend_from_slice(&progress.take(&mut source).ok()?);
+                ready.extend_from_slice(&progress.take_events(&mut source).ok()?);
                 return Some((ready.freeze(), source));
             }
-            Ok(Opening::Whole(..)) => {}
+            Ok(StartOutcome::Whole(..)) => {}
             Err(failure) => attempts.record_failure(call, &known, failure),
         }
-        known = attempts.next(relay, call, route).ok()?;
+        known = attempts.next_server(relay, call, route).ok()?;
     }
 }
--- a/src/relay/taking.rs
+++ b/src/relay/taking.rs
@@ -30,17 +30,17 @@
 use crate::sync::lock;
 
 /// Bytes of an answer that need no room of their own: an accepted request gets on also in a full box.
-pub(super) const FIRST_BYTES: u64 = 8 << 10;
+pub(super) const UNCHARGED_BYTES: u64 = 8 << 10;
 
 /// Bytes of one answer that are kept at most: all of nearly every stream, so that its engine is free.
-const ANSWER_BYTES: u64 = 256 << 10;
+const MAX_KEPT_BYTES: u64 = 256 << 10;
 
 /// Time between two looks at a caller for whom something is kept: a part of the least patience.
-const LOOK_TIME: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// What a caller has taken so far.
 #[derive(Debug)]
-struct Book {
+struct Progress {
     kept: u64,
     taken: u64,
     /// Since when something is kept; none while nothing is.
@@ -52,67 +52,68 @@
 }
 
 /// What an answer's two ends share.
-struct Shared {
-    book: Mutex<Book>,
-    took: Notify,
+struct DeliveryState {
+    progress: Mutex<Progress>,
+    taken: Notify,
     kept: Kept,
 }
 
-impl Shared {
+impl DeliveryState {
     fn new(kept: Kept) -> Arc<Self> {
         let (longest, owed) = (Duration::ZERO, Duration::ZERO);
         let last = Instant::now();
-        let book = Book { kept: 0, taken: 0, since: None, owed, last, longest };
-        Arc::new(Self { book: Mutex::new(book), took: Notify::new(), kept })
+        let progress = Progress { kept: 0, taken: 0, since: None, owed, last, longest };
+        Arc::new(Self { progress: Mutex::new(progress), taken: Notify::new(), kept })
     }
 
-    fn book(&self) -> MutexGuard<'_, Book> {
-        lock(&self.book)
+    fn progress(&self) -> MutexGuard<'_, Progress> {
+        lock(&self.progress)
     }
 
-    fn is_owing(&self) -> bool {
-        self.book().kept > 0
+    fn has_untaken(&self) -> bool {
+        self.progress().kept > 0
     }
 
     /// Bytes that count as taken once the last of them is dropped.
     fn keep(self: &Arc<Self>, bytes: Bytes, charge: Option<Reserved>) -> Bytes {
         let length = bytes.len() as u64;
-        let mut book = self.book();
-        book.kept += length;
-        if book.since.is_none() {
+        let mut progress = self.progress();
+        progress.kept += length;
+        if progress.since.is_none() {
             let now = Instant::now();
-            (book.since, book.last) = (Some(now), now);
+            (progress.since, progress.last) = (Some(now), now);
         }
-        drop(book);
-        guarded(bytes, Piece { shared: self.clone(), length, _charge: charge })
+        drop(progress);
+        guarded(bytes, UntakenBytes { state: self.clone(), length, _charge: charge })
     }
 
-    fn took(&self, length: u64) {
+    fn record_taken(&self, length: u64) {
         let now = Instant::now();
-        let mut book = self.book();
-        book.kept -= length;
-        book.taken += length;
-        book.longest = book.longest.max(now.saturating_duration_since(book.last));
-        book.last = now;
-        if book.kept == 0
-            && let Some(since) = book.since.take()
+        let mut progress = self.progress();
+        progress.kept -= length;
+        progress.taken += length;
+        progress.longest = progress.longest.max(now.saturating_duration_since(progress.last));
+        progress.last = now;
+        if progress.kept == 0
+            && let Some(since) = progress.since.take()
         {
-            book.owed += now.saturating_duration_since(since);
+            progress.owed += now.saturating_duration_since(since);
         }
-        drop(book);
-        self.took.notify_one();
+        drop(progress);
+        self.taken.notify_one();
     }
 
     fn taking(&self, held: Duration, left: Duration) -> Taking {
-        let book = self.book();
+        let progress = self.progress();
         let now = Instant::now();
-        let owing = book.since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
+        let owing =
+            progress.since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
         Taking {
-            kept: book.kept,
-            taken: book.taken,
-            owed: book.owed + owing,
-            silent: now.saturating_duration_since(book.last),
-            longest: book.longest,
+            kept: progress.kept,
+            taken: progress.taken,
+            owed: progress.owed + owing,
+            silent: now.saturating_duration_since(progress.last),
+            longest: progress.longest,
             held,
             left,
         }
@@ -120,20 +121,20 @@
 }
 
 /// Bytes on their way.
-struct Piece {
-    shared: Arc<Shared>,
+struct UntakenBytes {
+    state: Arc<DeliveryState>,
     length: u64,
     _charge: Option<Reserved>,
 }
 
-impl Drop for Piece {
+impl Drop for UntakenBytes {
     fn drop(&mut self) {
-        self.shared.took(self.length);
+        self.state.record_taken(self.length);
     }
 }
 
 /// The body of a stream of events that is read as it comes.
-pub(super) fn stream(
+pub(super) fn stream_body(
     relay: Arc<Relay>,
     call: Arc<Call>,
     route: Arc<Route>,
@@ -141,52 +142,52 @@
     events: impl Stream<Item = io::Result<Bytes>> + Send + 'static,
 ) -> Body {
     let (sender, mut pieces) = mpsc::unbounded_channel();
-    let passage = Passage::new(relay, call, route, kept);
-    tokio::spawn(passage.run(events, sender));
+    let delivery = Delivery::new(relay, call, route, kept);
+    tokio::spawn(delivery.run(events, sender));
     let pieces = poll_fn(move |context| pieces.poll_recv(context));
     BodyExt::boxed_unsync(StreamBody::new(pieces.map(|piece| piece.map(Frame::data))))
 }
 
 /// The body of a whole answer, whose engine is free.
-pub(super) fn answer(
+pub(super) fn whole_body(
     relay: Arc<Relay>,
     call: Arc<Call>,
     route: Arc<Route>,
     kept: Kept,
     body: Bytes,
 ) -> Body {
-    if body.len() as u64 <= FIRST_BYTES {
+    if body.len() as u64 <= UNCHARGED_BYTES {
         return whole(guarded(body, kept));
     }
-    let passage = Passage::new(relay, call, route, kept);
-    let body = passage.shared.keep(body, None);
-    tokio::spawn(passage.finish());
+    let delivery = Delivery::new(relay, call, route, kept);
+    let body = delivery.state.keep(body, None);
+    tokio::spawn(delivery.finish());
     whole(body)
 }
 
 /// The way of one answer.
-struct Passage {
+struct Delivery {
     relay: Arc<Relay>,
     call: Arc<Call>,
     route: Arc<Route>,
-    shared: Arc<Shared>,
+    state: Arc<DeliveryState>,
     /// A piece for which there was no room.
-    waiting: Option<Bytes>,
-    look: Pin<Box<Sleep>>,
+    waiting_piece: Option<Bytes>,
+    check_timer: Pin<Box<Sleep>>,
     /// Since when the engine is not read.
-    held: Option<Instant>,
+    held_since: Option<Instant>,
 }
 
-impl Passage {
+impl Delivery {
     fn new(relay: Arc<Relay>, call: Arc<Call>, route: Arc<Route>, kept: Kept) -> Self {
         Self {
             relay,
             call,
             route,
-            shared: Shared::new(kept),
-            waiting: None,
-            look: Box::pin(sleep(LOOK_TIME)),
-            held: None,
+            state: DeliveryState::new(kept),
+            waiting_piece: None,
+            check_timer: Box::pin(sleep(CHECK_INTERVAL)),
+            held_since: None,
         }
     }
 
@@ -198,22 +199,22 @@
     ) {
         let mut events = pin!(events);
         loop {
-            let has_room = self.pass_waiting(&sender);
-            let owing = self.shared.is_owing();
+            let has_room = self.send_waiting(&sender);
+            let has_untaken = self.state.has_untaken();
             tokio::select! {
                 biased;
                 () = sender.closed() => return,
                 event = events.next(), if has_room => match event {
-                    Some(Ok(piece)) => self.waiting = Some(piece),
+                    Some(Ok(piece)) => self.waiting_piece = Some(piece),
                     Some(Err(error)) => {
                         let _ = sender.send(Err(error));
                         break;
                     }
                     None => break,
                 },
-                () = self.shared.took.notified(), if !has_room => {}
-                () = self.look.as_mut(), if owing || !has_room => {
-                    if self.lets_go() {
+                () = self.state.taken.notified(), if !has_room => {}
+                () = self.check_timer.as_mut(), if has_untaken || !has_room => {
+                    if self.give_up_if_slow() {
                         return;
                     }
                 }
@@ -225,12 +226,12 @@
 
     /// Waits until the caller has taken all, or lets it go.
     async fn finish(mut self) {
-        self.count_held(true);
-        while self.shared.is_owing() {
+        self.track_held(true);
+        while self.state.has_untaken() {
             tokio::select! {
-                () = self.shared.took.notified() => {}
-                () = self.look.as_mut() => {
-                    if self.lets_go() {
+                () = self.state.taken.notified() => {}
+                () = self.check_timer.as_mut() => {
+                    if self.give_up_if_slow() {
                         return;
                     }
                 }
@@ -239,35 +240,35 @@
     }
 
     /// Passes the piece on that waits for room; whether there is room for the next.
-    fn pass_waiting(&mut self, sender: &UnboundedSender<io::Result<Bytes>>) -> bool {
-        let kept = self.shared.book().kept;
-        let passed = match self.waiting.take() {
+    fn send_waiting(&mut self, sender: &UnboundedSender<io::Result<Bytes>>) -> bool {
+        let kept = self.state.progress().kept;
+        let passed = match self.waiting_piece.take() {
             None => true,
-            Some(mut piece) => match self.charge(kept, piece.len() as u64) {
+            Some(mut piece) => match self.reserve(kept, piece.len() as u64) {
                 Ok(charge) => {
-                    let _ = sender.send(Ok(self.shared.keep(piece, charge)));
+                    let _ = sender.send(Ok(self.state.keep(piece, charge)));
                     true
                 }
                 Err(()) => {
-                    let free = FIRST_BYTES.saturating_sub(kept) as usize;
+                    let free = UNCHARGED_BYTES.saturating_sub(kept) as usize;
                     if free > 0 {
                         let part = piece.split_to(free);
-                        let _ = sender.send(Ok(self.shared.keep(part, None)));
+                        let _ = sender.send(Ok(self.state.keep(part, None)));
                     }
-                    self.waiting = Some(piece);
+                    self.waiting_piece = Some(piece);
                     false
                 }
             },
         };
-        let has_room = passed && kept < ANSWER_BYTES;
+        let has_room = passed && kept < MAX_KEPT_BYTES;
         // Only what the caller has not taken is its own doing.
-        self.count_held(has_room || kept == 0);
+        self.track_held(has_room || kept == 0);
         has_room
     }
 
     /// Room for a piece beside what is kept; the first bytes need none.
-    fn charge(&self, kept: u64, length: u64) -> Result<Option<Reserved>, ()> {
-        if kept + length <= FIRST_BYTES {
+    fn reserve(&self, kept: u64, length: u64) -> Result<Option<Reserved>, ()> {
+        if kept + length <= UNCHARGED_BYTES {
             return Ok(None);
         }
         let memory = &self.relay.memory;
@@ -275,29 +276,29 @@
         reserved.map(Some).map_err(|_| ())
     }
 
-    fn count_held(&mut self, has_room: bool) {
+    fn track_held(&mut self, has_room: bool) {
         match has_room {
-            true => self.held = None,
+            true => self.held_since = None,
             false => {
-                self.held.get_or_insert_with(Instant::now);
+                self.held_since.get_or_insert_with(Instant::now);
             }
         }
     }
 
     /// Looks at the caller; whether it was let go.
-    fn lets_go(&mut self) -> bool {
-        self.look = Box::pin(sleep(LOOK_TIME));
-        let held = self.held.map_or(Duration::ZERO, |since| since.elapsed());
-        let taking = self.shared.taking(held, self.call.time_left());
+    fn give_up_if_slow(&mut self) -> bool {
+        self.check_timer = Box::pin(sleep(CHECK_INTERVAL));
+        let held = self.held_since.map_or(Duration::ZERO, |since| since.elapsed());
+        let taking = self.state.taking(held, self.call.time_left());
         let Some(slow) = judge(&taking, self.route.gap, self.route.repeat.is_repeatable()) else {
             return false;
         };
-        self.note(slow, &taking);
-        self.shared.kept.cut();
+        self.log_slow_caller(slow, &taking);
+        self.state.kept.cut();
         true
     }
 
-    fn note(&self, slow: Slow, taking: &Taking) {
+    fn log_slow_caller(&self, slow: Slow, taking: &Taking) {
         let team = self.call.team.as_ref().map_or("-", |team| team.as_str());
         self.relay.context.metrics.count_request(team, "caller_slow");
         tracing::info!(
--- a/tests/distance_relay.rs
+++ b/tests/distance_relay.rs
@@ -67,7 +67,7 @@
 /// The server for a call, and whether it copies the shared part.
 fn chosen(relay: &TestRelay, part: Option<u64>) -> (Arc<Known>, bool) {
     let mut course = CallAttempts::new("svc".parse().unwrap());
-    let known = course.next(&relay.relay, &call(part), &stream_route(relay)).unwrap();
+    let known = course.next_server(&relay.relay, &call(part), &stream_route(relay)).unwrap();
     (known, course.prefix_source().is_some())
 }
 
@@ -137,7 +137,7 @@
     let course = CallAttempts::new("svc".parse().unwrap());
     let from = |name: &str| {
         let source = all.iter().find(|it| it.server.data_centre.as_str() == name).unwrap();
-        course.target(&relay.relay, source).unwrap().server.data_centre.to_string()
+        course.move_target(&relay.relay, source).unwrap().server.data_centre.to_string()
     };
     assert_eq!(from("here"), "near");
     assert_eq!(from("far"), "far");
--- a/tests/names.rs
+++ b/tests/names.rs
@@ -14,7 +14,7 @@
 const DONE: [&str; 3] = ["src/control", "src/decide", "src/relay"];
 
 /// Type names that still stand for two things, each to go.
-const DOUBLED: [&str; 21] = [
+const DOUBLED: [&str; 19] = [
     "Action",
     "Arguments",
     "Call",
@@ -31,8 +31,6 @@
     "Phase",
     "Plan",
     "Reader",
-    "Reading",
-    "Reply",
     "Role",
     "Service",
     "Team",
