--- a/src/relay/call.rs
+++ b/src/relay/call.rs
@@ -1,4 +1,4 @@
-//! A request as the relay sees it, and what is known of an answer's head.
+//! A request as the relay sees it, and the parsed heads of backend servers' replies.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,67 +12,68 @@
 use crate::decide::throttle::LimitNotice;
 use crate::ids::{BackendId, Fingerprint, Incarnation, TeamName};
 
-/// Tokens of a generation.
+/// Size of a generation in tokens, as stated by the caller.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct GenerationSize {
-    /// Tokens of the prompt.
+    /// Tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens that come out at most.
+    /// Upper bound on generated tokens.
     pub max_output_tokens: u64,
 }
 
-/// A part of a prompt. Requests share parts; the last one is the request's or its session's own.
+/// A segment of a prompt. Requests can have segments in common; the last one belongs to this
+/// request or its session alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// Its id.
+    /// Identifies the segment's content.
     pub id: u64,
-    /// Its tokens.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// What a request's headers say.
+/// The request headers that the relay interprets.
 #[derive(Debug, Clone, Default)]
 pub struct CallHead {
-    /// The caller's id for this request.
+    /// The caller's id for this request; empty if it sent none.
     pub id: String,
-    /// The key it came with.
+    /// The caller's API key.
     pub api_key: Option<String>,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub timeout: Option<Duration>,
-    /// What is generated, where the caller says so.
+    /// Size of the generation, if the caller states it.
     pub generation: Option<GenerationSize>,
-    /// The parts of the prompt.
+    /// The prompt's segments, in order.
     pub prompt_segments: Vec<PromptSegment>,
-    /// The last event the caller has of a stream it takes up.
+    /// Id of the last event the caller has received, if it resumes a stream.
     pub last_event_id: Option<u64>,
 }
 
-/// A request, read whole.
+/// A request with its complete body.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// What its headers say.
+    /// The interpreted headers.
     pub head: CallHead,
-    /// The method.
+    /// The request method.
     pub method: Method,
-    /// The path and query, as they came.
+    /// Path and query, unchanged.
     pub path: PathAndQuery,
-    /// The headers that go on to a backend server, without those of one connection.
+    /// Headers forwarded to the backend server, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
-    /// The team whose key it came with.
+    /// The team that owns the API key.
     pub team: Option<TeamName>,
-    /// How urgent it is; 0 goes first.
+    /// Urgency; 0 is served first.
     pub urgency: u8,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Instant,
-    /// When the caller or the route gives it up.
+    /// When the request times out for the caller or by its route.
     pub deadline: Instant,
 }
 
 impl Call {
-    /// Which request it is, whatever id its caller gives an attempt: those who send the same bytes to the same
-    /// place with a key of the same team send the same request.
+    /// Identifies a request by its content rather than by the caller's request id: the same bytes
+    /// sent to the same path with a key of the same team are the same request.
     pub fn fingerprint(&self) -> Fingerprint {
         let caller = self.team.as_ref().map(TeamName::as_str).or(self.head.api_key.as_deref());
         let host = self.headers.get(HOST).map_or(&b""[..], HeaderValue::as_bytes);
@@ -85,108 +86,112 @@
         ];
         let mut hash = Sha256::new();
         for part in parts {
-            // With its length, so that no two lists of parts read the same.
+            // Including the length keeps different lists of parts from hashing the same bytes.
             hash.update((part.len() as u64).to_be_bytes());
             hash.update(part);
         }
-        let mut short = Fingerprint::default();
-        short.0.copy_from_slice(&hash.finalize()[..size_of::<Fingerprint>()]);
-        short
+        let mut fingerprint = Fingerprint::default();
+        fingerprint.0.copy_from_slice(&hash.finalize()[..size_of::<Fingerprint>()]);
+        fingerprint
     }
 
-    /// The time left.
+    /// Time until the deadline.
     pub fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Tokens of the prompt, where known.
+    /// Tokens in the prompt; 0 if unknown.
     pub fn prompt_tokens(&self) -> u64 {
-        self.head.generation.map_or(0, |size| size.prompt_tokens)
+        self.head.generation.map_or(0, |generation| generation.prompt_tokens)
     }
 
-    /// Tokens that an engine keeps for it at most, where known.
+    /// Upper bound on the tokens that an engine holds in memory for this call; 0 if unknown.
     pub fn max_tokens(&self) -> u64 {
-        self.head.generation.map_or(0, |size| size.prompt_tokens + size.max_output_tokens)
+        self.head
+            .generation
+            .map_or(0, |generation| generation.prompt_tokens + generation.max_output_tokens)
     }
 
-    /// The id of the longest part that other requests share, and the tokens up to its end.
+    /// The longest prefix of the prompt that other requests can have in common: the id of its last
+    /// segment and the length of the whole prefix in tokens.
     pub fn shared_prefix(&self) -> Option<PromptSegment> {
         let shared = self.head.prompt_segments.split_last()?.1;
-        let tokens = shared.iter().map(|part| part.tokens).sum();
-        shared.last().map(|part| PromptSegment { id: part.id, tokens })
+        let tokens = shared.iter().map(|segment| segment.tokens).sum();
+        shared.last().map(|segment| PromptSegment { id: segment.id, tokens })
     }
 }
 
-/// What one send adds to a request.
+/// What a send adds to the call's own headers.
 #[derive(Debug, Clone)]
 pub struct SendContext<'a> {
-    /// The backend server that is meant; any other must not run the request.
+    /// The intended backend server. Any other server must not run the request.
     pub server: &'a BackendId,
-    /// How long the backend server may work.
+    /// How long the backend server may take.
     pub timeout: Duration,
-    /// The last event that the caller has, when a stream is taken up.
+    /// Id of the last event the caller has received, if a stream is resumed.
     pub last_event_id: Option<u64>,
-    /// A backend server that likely keeps a part of the prompt: it is copied from there.
+    /// A backend server that probably has part of the prompt in its KV cache, from which it is
+    /// copied.
     pub prefix_source: Option<SocketAddr>,
-    /// The memory of the request's run, where it was moved.
+    /// The exported KV cache of this run, if the run was moved.
     pub kv_export: Option<&'a KvCacheExport>,
 }
 
-/// The memory of a run that was stopped to be moved.
+/// The KV cache of a run that was stopped so that it can continue on another server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KvCacheExport {
-    /// The backend server on which it ran.
+    /// The backend server that holds the export.
     pub source: SocketAddr,
-    /// What that server calls it.
+    /// The server's handle for the export.
     pub handle: String,
 }
 
-/// The load that a backend server tells with an answer.
+/// Load that a backend server reports with an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerLoad {
-    /// Requests running.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests waiting.
+    /// Number of queued requests.
     pub waiting: u32,
 }
 
-/// What a backend server says of itself when it is asked.
+/// A backend server's answer to a status query.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServerReport {
-    /// Its life; 0 where it tells none.
+    /// The server's incarnation; 0 if it reports none.
     pub incarnation: Incarnation,
-    /// Its load, where it tells it.
+    /// The server's load, if it reports it.
     pub load: Option<ServerLoad>,
-    /// Whether it is leaving, where it tells it.
+    /// Whether the server is shutting down, if it reports it.
     pub leaving: Option<bool>,
-    /// When it goes, counted from the answer, where it tells it.
+    /// Time from this answer until the server shuts down, if it reports it.
     pub time_left: Option<Duration>,
 }
 
-/// What a backend server answers when it is asked to move a run.
+/// A backend server's answer to the request to stop and export a run.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct MoveReply {
-    /// Its life; 0 where it tells none.
+    /// The server's incarnation; 0 if it reports none.
     pub incarnation: Incarnation,
-    /// What it calls the copy; `None` when there is none.
+    /// The server's handle for the export; `None` if it made none.
     pub handle: Option<String>,
 }
 
-/// What an answer's head says.
+/// The interpreted head of a backend server's reply.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReplyHead {
-    /// Whether it answers the request that was sent.
+    /// Whether the reply belongs to the request that was sent.
     pub matches_request: bool,
-    /// Whether the backend server vouches for the body.
+    /// Whether the backend server signed its reply.
     pub signed: bool,
-    /// Whether the backend server says that it has not run the request.
+    /// Whether the backend server reports that it did not run the request.
     pub not_run: bool,
-    /// The load it tells.
+    /// The server's load, if it reports it.
     pub load: Option<ServerLoad>,
-    /// The limit that it names.
+    /// The rate limit that the reply announces.
     pub limit_notice: LimitNotice,
-    /// The pause that it asks this box for, where it turned the request away.
+    /// How long the server asks this box not to send to it, if it refused the request.
     pub requested_pause: Option<Duration>,
-    /// Whether it says that it is leaving.
+    /// Whether the server reports that it is shutting down.
     pub leaving: bool,
 }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -1,28 +1,32 @@
-//! Traffic by the routes that operators publish.
+//! Request routing: forwards callers' requests to backend servers by the published route table.
 //!
-//! A relay takes a caller's request, finds its route by host and path, lets it in within its team's
-//! limit and passes it to a backend server of the route's service, byte for byte. It decides how
-//! often a request may be sent, and what is said of one that failed.
+//! A relay matches a request to a route by host and path, charges it against its team's rate limit
+//! and forwards it unchanged to a backend server of the route's service. It decides how often a
+//! request may be sent and which error the caller gets when no send succeeds.
 //!
-//! - [`table`] is the table of routes, checked as a whole; [`call`] a request and what is known of it.
-//! - [`dialect`] is the edge to the words of callers and backend servers: pure functions from heads
-//!   to types and back.
-//! - [`listing`] is a reading of the list of backend servers, [`list_registry`] the leader's list, [`list`] what
-//!   goes from it to boxes, [`known`] one server as a box knows it and [`servers`] all of them, [`engines`] what was learned of them.
-//! - [`serve`] is the life of a request; [`plain`] passes whole answers, [`stream`] streams of events,
-//!   [`attempt`] is one send, [`attempts`] all sends of one call; [`pick`] finds the server for a send,
-//!   [`placed`] are the servers by how far they are, [`traffic`] counts what goes how far.
-//! - [`lives`] asks servers in which life they are, [`ends`] finds out which have ended, and under which requests.
-//! - [`quarantine`] refuses requests that end the servers they run on.
-//! - [`restraint`] is what servers asked of this box: limits and pauses.
-//! - [`moving`] moves running streams off servers that are leaving.
-//! - [`keeping`] is what the box keeps for a request, charged to its memory, and [`taking`] its answer
-//!   until the caller has taken it.
-//! - [`usage`] counts what ran and [`offered`] what came. What decides, limits and remembers is in
-//!   [`crate::decide`].
+//! - [`table`] is the validated route table; [`call`] holds a request and the parsed heads of
+//!   replies.
+//! - [`dialect`] is the boundary to the wire formats of callers and backend servers: pure functions
+//!   that parse and write headers and documents.
+//! - [`listing`] is one reading of the platform's server list, [`list_registry`] the leader's
+//!   merged list, [`list`] the form in which it is sent to boxes, [`known`] a single server as a
+//!   box sees it, [`servers`] all of them, and [`engines`] the performance model learned from them.
+//! - [`serve`] handles a request from arrival to answer; [`plain`] forwards complete answers,
+//!   [`stream`] event streams, [`attempt`] is one send and [`attempts`] all sends of a call;
+//!   [`pick`] selects the server for a send, [`placed`] groups servers by distance and [`traffic`]
+//!   counts traffic by distance.
+//! - [`lives`] polls servers for their incarnation; [`ends`] detects servers that have ended and the
+//!   requests that ran on them.
+//! - [`quarantine`] refuses requests that crash the servers they run on.
+//! - [`restraint`] holds the rate limits and pauses that servers requested of this box.
+//! - [`moving`] migrates running streams off servers that are shutting down.
+//! - [`keeping`] accounts for the memory that a request occupies, and [`taking`] buffers its answer
+//!   until the caller has received it.
+//! - [`usage`] counts the requests that ran and [`offered`] those that arrived. The decision logic
+//!   is in [`crate::decide`].
 //!
-//! Contract: an unrepeatable request is sent again only if the backend server itself said that it
-//! has not run. A status that promises *not run* is given only with proof.
+//! Contract: a non-repeatable request is sent again only if the backend server itself reported that
+//! it did not run. A status that promises *not run* is returned only with proof.
 
 pub mod attempt;
 pub mod attempts;
@@ -98,35 +102,35 @@
 use traffic::TrafficCounters;
 use usage::UsageCounter;
 
-/// What a relay starts with.
+/// The dependencies of a [`Relay`].
 pub struct RelayContext {
-    /// The settings.
+    /// The relay's settings.
     pub settings: RelaySettings,
-    /// The regions, as the box sees them.
+    /// The data centres and regions, and how far they are from this box.
     pub topology: Topology,
-    /// What the node knows.
+    /// State shared by the tasks of the node, such as the age of its configuration.
     pub board: Arc<Blackboard>,
     /// Connections to backend servers.
     pub pool: Pool,
-    /// How callers and backend servers speak.
+    /// Parser and writer of the wire formats.
     pub dialect: Arc<dyn Dialect>,
-    /// The metrics.
+    /// The node's metrics.
     pub metrics: Arc<Metrics>,
-    /// Whether connections are to close behind their requests.
+    /// Becomes `true` when the node shuts down and connections close after their current request.
     pub closing: watch::Receiver<bool>,
 }
 
-/// What the parts of a relay share.
+/// State shared by all tasks of the relay.
 pub struct Relay {
-    /// What it started with.
+    /// Settings and services that the relay was created with.
     pub context: RelayContext,
-    /// The backend servers known.
+    /// The known backend servers.
     pub servers: ServerTable,
-    /// The memory that the box has for callers.
+    /// The memory budget for callers' requests and answers.
     pub memory: Memory,
     /// Callers' connections.
     pub gate: Arc<Gate>,
-    /// The routes in force; none before the first was published.
+    /// The route table in force; `None` until the first one arrives.
     table: ArcSwapOption<RouteTable>,
     allowances: Mutex<Allowances>,
     retries: Mutex<RetryBudgets>,
@@ -140,28 +144,29 @@
     quarantine: Mutex<BoxQuarantine>,
     throttles: Mutex<Throttles>,
     pauses: Mutex<Pauses>,
-    /// The exchanges that broke off, until it is known whether their servers have ended.
+    /// Exchanges that broke off, kept until it is known whether their server has ended.
     pub ends: EndWatch,
-    /// What went to backend servers and came back.
+    /// Requests and bytes exchanged with backend servers.
     pub traffic: TrafficCounters,
-    /// Relays that share the limits, as the leader last said; 0 before it did.
+    /// Number of relays that share the rate limits, as last reported by the leader; 0 before that.
     relay_count: AtomicU32,
-    /// Told of new routes and backend servers.
+    /// Notified when new routes or backend servers have been applied.
     routes_or_servers_changed: Notify,
-    /// Told of each word on which parts of the list this box is to have.
+    /// Notified when the leader has sent a new index of the list parts assigned to this box.
     pub(crate) index_changed: Notify,
-    /// Asks for a beat before the next one is due.
+    /// Requests a heartbeat before the next one is due.
     pub(crate) heartbeat_requested: Notify,
-    /// Asks for a demand for the teams that requests wait for.
+    /// Requests a message to the leader that asks for allowance for the teams with waiting
+    /// requests.
     pub(crate) demand_requested: Notify,
-    /// Told of each change of a server's limit.
+    /// Notified when the rate limit of a backend server changes.
     pub(crate) limit_changed: Notify,
-    /// Told of each beat and each demand that was answered.
+    /// Notified when the leader has answered a heartbeat or an allowance request.
     pub(crate) leader_replied: Notify,
 }
 
 impl Relay {
-    /// A relay that knows no routes and no backend servers yet.
+    /// Creates a relay without routes or backend servers.
     pub fn new(context: RelayContext) -> Self {
         let usage = UsageCounter::new(context.settings.usage_window.duration());
         let servers = ServerTable::new(context.topology.clone());
@@ -197,12 +202,13 @@
         }
     }
 
-    /// The routes in force.
+    /// The route table in force.
     pub fn table(&self) -> Option<Arc<RouteTable>> {
         self.table.load_full()
     }
 
-    /// Puts routes in force. Older ones are passed over: nothing reverts.
+    /// Puts a route table in force. A table that is not newer than the current one is ignored, so
+    /// configuration never goes back.
     pub fn apply_table(&self, table: Arc<RouteTable>) {
         let held = self.table.load();
         if held.as_ref().is_some_and(|held| held.version >= table.version) {
@@ -219,15 +225,16 @@
         self.routes_or_servers_changed.notify_waiters();
     }
 
-    /// Takes the leader's word of which parts of the list of backend servers this box is to have.
+    /// Applies the leader's index of the list parts assigned to this box.
     pub fn apply_index(&self, index: ListIndex) {
         self.servers.apply_index(index);
         self.routes_or_servers_changed.notify_waiters();
         self.index_changed.notify_one();
     }
 
-    /// Takes parts of the list of backend servers. One line says which servers are leaving: with a data
-    /// centre dozens go at once, and a line for each of them in each box was 26,598 lines in 48 s.
+    /// Applies parts of the server list. Servers that have started to shut down are logged in a
+    /// single line: a data centre can lose dozens of servers at once, and one line per server on
+    /// every box produced 26,598 lines in 48 s.
     pub fn apply_parts(&self, parts: Vec<ListPart>) {
         let leaving = self.servers.apply_parts(parts);
         if !leaving.is_empty() {
@@ -240,18 +247,18 @@
         self.routes_or_servers_changed.notify_waiters();
     }
 
-    /// Whether the box has had its first routes and backend servers; right after a start it has not.
+    /// Whether the box has received its first routes and backend servers.
     fn is_initialized(&self) -> bool {
         self.table.load().is_some() && self.servers.is_complete()
     }
 
-    /// Whether the box was told of newer routes than those in force.
+    /// Whether the box has heard of a route table newer than the one in force.
     pub(crate) fn is_behind(&self) -> bool {
         let held = self.table.load().as_ref().map_or(Version(0), |table| table.version);
         held < self.context.board.newest()
     }
 
-    /// How sure the box is of its routes and keys.
+    /// How current the routes and keys of this box are.
     pub(crate) fn certainty(&self) -> Certainty {
         let settings = &self.context.settings;
         let aims = Aims {
@@ -261,19 +268,20 @@
         Certainty { aims, age: self.context.board.age(), behind: self.is_behind() }
     }
 
-    /// Waits until the box is initialized, at most `limit`.
+    /// Waits until the box is initialized, for at most `limit`.
     pub(crate) async fn wait_until_initialized(&self, limit: Duration) {
         self.wait_until(limit, || self.is_initialized()).await;
     }
 
-    /// Waits until the newest routes that the box was told of are in force, at most `limit`.
+    /// Waits until the newest announced route table is in force, for at most `limit`.
     pub(crate) async fn wait_until_current(&self, limit: Duration) {
         self.wait_until(limit, || !self.is_behind()).await;
     }
 
-    /// Waits until something holds that comes with new routes or backend servers, at most `limit`.
+    /// Waits until `holds` returns `true`, for at most `limit`. The condition is checked again
+    /// whenever routes or backend servers change.
     async fn wait_until(&self, limit: Duration, holds: impl Fn() -> bool) {
-        // No timer for the calls of a box that has long been initialized.
+        // Creates no timer once the box is initialized, which is the usual case.
         if holds() {
             return;
         }
@@ -290,48 +298,48 @@
         let _ = tokio::time::timeout(limit, waiting).await;
     }
 
-    /// The teams' allowances on this box.
+    /// The teams' rate allowances on this box.
     pub fn allowances(&self) -> MutexGuard<'_, Allowances> {
         lock(&self.allowances)
     }
 
-    /// The budgets of repeated sends.
+    /// The retry budgets by service.
     pub fn retries(&self) -> MutexGuard<'_, RetryBudgets> {
         lock(&self.retries)
     }
 
-    /// What began to run, by window and team.
+    /// Requests that were run, by time window and team.
     pub fn usage(&self) -> MutexGuard<'_, UsageCounter> {
         lock(&self.usage)
     }
 
-    /// What is known of a service's engines, where it is a model.
+    /// The engine parameters of a service; `None` for a service that is not a model.
     pub(crate) fn engine_spec(&self, service: &ServiceName) -> Option<EngineSpec> {
         self.table()?.services.get(service)?.engine
     }
 
-    /// Whether a server can tell its life: engines do, plain services do not.
+    /// Whether a server reports its incarnation. Engines do, plain services do not.
     pub(crate) fn reports_incarnation(&self, known: &Known) -> bool {
         self.engine_spec(&known.server.service).is_some()
     }
 
-    /// What callers bring for each service.
+    /// The load that callers offer each service.
     pub fn offered(&self) -> MutexGuard<'_, OfferedTracker> {
         lock(&self.offered)
     }
 
-    /// What was learned of engines.
+    /// The performance models learned from engines.
     pub fn engines(&self) -> MutexGuard<'_, EngineTracker> {
         lock(&self.engines)
     }
 
-    /// The releases of services.
+    /// Rollout state of the services' releases.
     pub fn releases(&self) -> MutexGuard<'_, ReleaseTable> {
         lock(&self.releases)
     }
 
-    /// Notes how a server answered a request of a route, for the judgement of its release. A box that finds
-    /// the release bad by what it has seen itself says so at once.
+    /// Records how a server answered a request of a route, to judge the server's release. If this
+    /// box's own observations show that the release is bad, it reports to the leader at once.
     pub fn record_outcome(&self, known: &Known, route: &str, outcome: AnswerOutcome) {
         let server = &known.server;
         let stops =
@@ -344,63 +352,63 @@
         }
     }
 
-    /// The loads that servers told this box since its last word to the leader.
+    /// Server loads observed by this box since its last heartbeat.
     pub fn loads(&self) -> MutexGuard<'_, LoadPool> {
         lock(&self.loads)
     }
 
-    /// How far data centres are.
+    /// Measured distances to data centres.
     pub fn distances(&self) -> MutexGuard<'_, Distances> {
         lock(&self.distances)
     }
 
-    /// The requests that no server gets any more, and what this box knows of such.
+    /// Quarantined requests, and this box's own evidence about requests that crash servers.
     pub fn quarantine(&self) -> MutexGuard<'_, BoxQuarantine> {
         lock(&self.quarantine)
     }
 
-    /// The pauses that servers asked this box for.
+    /// Pauses that servers requested of this box.
     pub fn pauses(&self) -> MutexGuard<'_, Pauses> {
         lock(&self.pauses)
     }
 
-    /// The limits that servers named.
+    /// Rate limits announced by servers.
     pub fn throttles(&self) -> MutexGuard<'_, Throttles> {
         lock(&self.throttles)
     }
 
-    /// Whether services' requests leave the region.
+    /// Tracks whether a service's requests spill over to other regions.
     pub fn spills(&self) -> MutexGuard<'_, SpillTracker> {
         lock(&self.spills)
     }
 
-    /// How many relays share the limits.
+    /// Number of relays that share the rate limits; an estimate until the leader has reported one.
     pub fn relay_count(&self) -> u32 {
         self.known_relay_count().unwrap_or(RELAYS_GUESSED)
     }
 
-    /// How many relays share the limits by the leader's last word.
+    /// Number of relays that share the rate limits, if the leader has reported it.
     pub fn known_relay_count(&self) -> Option<u32> {
         Some(self.relay_count.load(Ordering::Relaxed)).filter(|relays| *relays > 0)
     }
 
-    /// Takes the leader's word of how many relays there are.
+    /// Sets the number of relays that share the rate limits.
     pub fn set_relay_count(&self, relays: u32) {
         self.relay_count.store(relays.max(1), Ordering::Relaxed);
     }
 
-    /// The time between two beats.
+    /// Time between two heartbeats.
     pub(crate) fn heartbeat_interval(&self) -> Duration {
         self.allowances().heartbeat_interval()
     }
 
-    /// Takes the leader's word of the time between two beats.
+    /// Sets the time between two heartbeats, as ordered by the leader, within the allowed range.
     pub(crate) fn set_heartbeat_interval(&self, interval: Duration) {
         self.allowances()
             .set_heartbeat_interval(interval.clamp(HEARTBEAT_INTERVAL, MAX_HEARTBEAT_INTERVAL));
     }
 
-    /// Whether the node is about to stop and takes nothing new.
+    /// Whether the node is shutting down and accepts no new requests.
     pub fn is_closing(&self) -> bool {
         *self.context.closing.borrow()
     }
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -1,4 +1,4 @@
-//! The life of a request.
+//! Handles a request from arrival to answer.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -29,40 +29,41 @@
 use crate::ids::{ServiceName, TeamName};
 use crate::telemetry::volume;
 
-/// When to come back to a box that knows no routes yet, or cannot be sure of them: after the loss of
-/// power everywhere, about the time until the group has a leader again.
-const UNSURE_WAIT: Duration = Duration::from_millis(1_000);
+/// Retry-After of a box that has no routes yet or cannot tell whether they are current. After a
+/// power loss of the whole deployment the group needs about this long to elect a leader.
+const UNCERTAIN_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
-/// The longest that a call waits for a box to learn. After a stop of everything the group has a leader,
-/// and boxes know routes and backend servers, about that long after their start.
-const PATIENCE: Duration = Duration::from_millis(400);
+/// Longest time that a call waits for routes and servers. After a restart of the whole deployment
+/// the group has a leader, and boxes have routes and backend servers, about this long after their
+/// start.
+const MAX_CONFIGURATION_WAIT: Duration = Duration::from_millis(400);
 
-/// Of its deadline, one part in so many a call waits at most for that: the routes that would tell its
-/// objective are not known.
-const PATIENCE_PART: u32 = 30;
+/// A call waits for routes and servers for at most this fraction of its deadline, as 1 / N. The
+/// route's latency objective cannot be used: the route is not known yet.
+const CONFIGURATION_WAIT_DIVISOR: u32 = 30;
 
-/// When to come back to another box, when this one stops.
-const CLOSING_WAIT: Duration = Duration::from_millis(50);
+/// Retry-After of a box that is shutting down; callers reach another box.
+const DRAINING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// How long a call waits for the leader's answer on its team's limit: several times the way to another
-/// data centre and back. A leader that is gone takes longer to replace.
-const ASK_TIME: Duration = Duration::from_millis(150);
+/// How long a call waits for the leader to answer for its team's limit: several round trips to
+/// another data centre. Replacing a failed leader takes longer than this.
+const LEADER_REPLY_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Pause before a team's demand is repeated that brought too little: the group may be noting meanwhile that
-/// more of the limit may be used.
-const RETRY_PAUSE: Duration = Duration::from_millis(10);
+/// Pause before asking the leader again when its answer was too little. The group may be committing
+/// a larger share of the limit in the meantime.
+const DEMAND_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// A wait for an allowance that is said in the log.
-const LONG_WAIT: Duration = Duration::from_millis(20);
+/// Allowance waits of at least this length are logged.
+const LOGGED_ALLOWANCE_WAIT: Duration = Duration::from_millis(20);
 
-/// Connections at rest that are closed for one request where memory is short: about as much as it takes
-/// itself beside its body.
-const CLOSED_AT_ONCE: usize = 2;
+/// Idle connections closed for each request when memory is short. Together they free about as much
+/// memory as a request takes without its body.
+const IDLE_CLOSED_PER_REQUEST: usize = 2;
 
-/// How much a team's rank weighs against its route's, in urgencies.
-const TEAM_URGENCY: u8 = 3;
+/// Urgency levels per step of a team's priority; a step of a route's priority counts 1.
+const TEAM_PRIORITY_WEIGHT: u8 = 3;
 
-/// Answers one request.
+/// Answers one request. Failures become refusals; this function never fails.
 pub async fn handle(relay: Arc<Relay>, request: Request<Incoming>) -> Response<Body> {
     let arrived = Instant::now();
     let (parts, body) = request.into_parts();
@@ -70,7 +71,7 @@
     let busy = parts.extensions.get::<Arc<Busy>>().cloned();
     let read = relay.context.dialect.read_call(&parts);
     let id = read.as_ref().map(|head| head.id.clone()).unwrap_or_default();
-    let waits_for_word = parts.headers.contains_key(EXPECT);
+    let expects_continue = parts.headers.contains_key(EXPECT);
     let request = Request::from_parts(parts, ());
     let result = match read {
         Ok(head) => serve(&relay, request, &mut body, head, arrived).await,
@@ -80,14 +81,16 @@
         Ok(response) => response,
         Err(failure) => {
             let closes = matches!(failure.kind, Kind::NoMemory | Kind::TooLarge | Kind::SlowCaller);
-            let mut response = refuse(&relay, &id, &doubted(&relay, failure), arrived);
+            let mut response =
+                build_refusal(&relay, &id, &soften_uncertain_denial(&relay, failure), arrived);
             let unread = body.filter(|body| !body.is_end_stream());
             if let (Some(busy), Some(body)) = (busy, unread) {
                 if closes {
                     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
-                // Bytes that are not read would make the close a reset, and the refusal would be lost.
-                if !waits_for_word {
+                // Closing a socket with unread bytes sends a reset, which could discard the
+                // refusal.
+                if !expects_continue {
                     server::drain(busy, body);
                 }
             }
@@ -96,21 +99,22 @@
     }
 }
 
-/// A refusal for good that follows from the routes held, where they may be out of date: that the box is not
-/// sure. A caller does not come back after the former, and its route or key may long be in force elsewhere.
-fn doubted(relay: &Relay, failure: Failure) -> Failure {
+/// Turns a permanent refusal into a temporary one where the routes it is based on may be out of
+/// date. Callers do not retry after a permanent refusal, although the route or key may already be
+/// in force on other boxes.
+fn soften_uncertain_denial(relay: &Relay, failure: Failure) -> Failure {
     match failure.kind {
         Kind::NotFound | Kind::UnknownKey | Kind::TooLarge | Kind::HeadTooLarge
             if !relay.certainty().may_deny() =>
         {
-            unsure(&format!("{}, by routes that may be out of date", failure.detail))
+            uncertain(&format!("{}, but the routes of this box may be out of date", failure.detail))
         }
         _ => failure,
     }
 }
 
-/// The answer to a request that failed.
-fn refuse(relay: &Relay, id: &str, failure: &Failure, arrived: Instant) -> Response<Body> {
+/// Builds, logs and counts the answer to a failed request.
+fn build_refusal(relay: &Relay, id: &str, failure: &Failure, arrived: Instant) -> Response<Body> {
     tracing::info!(
         event = "request_failed", id, kind = %failure.kind, run = %failure.kind.answer().run,
         detail = failure.detail, wait_ms = failure.retry_after.map(|wait| wait.as_millis() as u64),
@@ -136,35 +140,36 @@
     arrived: Instant,
 ) -> Result<Response<Body>, Failure> {
     let guard = relay.context.board.begin_request();
-    relay.wait_until_initialized(patience(&head)).await;
-    let mut table = relay.table().ok_or_else(|| unsure("no routes are known yet"))?;
+    relay.wait_until_initialized(configuration_wait(&head)).await;
+    let mut table =
+        relay.table().ok_or_else(|| uncertain("this box has not received any routes yet"))?;
     if relay.is_behind() && is_denied(&table, &request, &head) {
-        // The route or key may be what has changed.
-        relay.wait_until_current(patience(&head)).await;
+        // The route or key may be part of the newer configuration.
+        relay.wait_until_current(configuration_wait(&head)).await;
         table = relay.table().unwrap_or(table);
     }
     head::check(&request, table.limits.head)?;
     let route = find_route(&table, &request)?;
     if !relay.certainty().may_run() {
-        return Err(unsure("newer routes are in force than those known here"));
+        return Err(uncertain("newer routes are in force than those this box holds"));
     }
     let team = find_team(relay, &table, &route, &head)?;
     if relay.is_closing() {
-        let text = "the box is stopping; ask another";
-        return Err(Failure::new(Kind::Draining, text).after(Some(CLOSING_WAIT)));
+        let text = "this box is shutting down; send the request to another one";
+        return Err(Failure::new(Kind::Draining, text).after(Some(DRAINING_RETRY_AFTER)));
     }
     let service = choose_service(&route)?;
     let id = head.id.clone();
-    let waits = head.timeout.unwrap_or(route.timeout).min(route.timeout);
+    let timeout = head.timeout.unwrap_or(route.timeout).min(route.timeout);
     let urgency = urgency(team, &route);
     let claim = Claim::Request { team: team.map(|team| team.name.clone()), urgency };
-    relay.gate.relieve(CLOSED_AT_ONCE);
+    relay.gate.relieve(IDLE_CLOSED_PER_REQUEST);
     let kept = Kept::take(&relay.memory, &request, &claim, guard)?;
-    let until = arrived + waits;
+    let until = arrived + timeout;
     let read = read_body(&relay.memory, body, table.limits.body, until, claim).await?;
-    let call = put_together(team, urgency, head, request, read, arrived, until);
+    let call = build_call(team, urgency, head, request, read, arrived, until);
     quarantine::check(relay, &call)?;
-    let spent = take_allowance(relay, team, &call).await?;
+    let charged = take_allowance(relay, team, &call).await?;
     relay.retries().earn(&service, &retry_limit(relay));
     relay.offered().count(&service, call.head.generation.unwrap_or_default(), route.objective);
     let call = Arc::new(call);
@@ -191,15 +196,15 @@
             if failure.kind.answer().run == crate::error::RunState::NotRun
                 && let Some(team) = team
             {
-                relay.allowances().refund(&team.name, spent);
+                relay.allowances().refund(&team.name, charged);
             }
             Err(failure)
         }
     }
 }
 
-/// One line for an answer that was passed on: always when it is late or a failure, else as far as the
-/// volume of the log allows.
+/// Logs a forwarded answer: always if it is late or a failure, otherwise within the log's volume
+/// limit.
 fn log_answer(
     relay: &Relay,
     table: &RouteTable,
@@ -222,21 +227,21 @@
     );
 }
 
-/// How long a call may wait for a box to learn routes and backend servers.
-fn patience(head: &CallHead) -> Duration {
+/// How long a call may wait for the box to receive routes and backend servers.
+fn configuration_wait(head: &CallHead) -> Duration {
     let deadline = head.timeout.unwrap_or_default();
-    (deadline / PATIENCE_PART).min(PATIENCE)
+    (deadline / CONFIGURATION_WAIT_DIVISOR).min(MAX_CONFIGURATION_WAIT)
 }
 
-fn unsure(text: &str) -> Failure {
-    Failure::new(Kind::StaleConfiguration, text).after(Some(UNSURE_WAIT))
+fn uncertain(text: &str) -> Failure {
+    Failure::new(Kind::StaleConfiguration, text).after(Some(UNCERTAIN_RETRY_AFTER))
 }
 
 fn find_route(table: &RouteTable, request: &Request<()>) -> Result<Arc<Route>, Failure> {
     let host = request.headers().get(HOST).and_then(|host| host.to_str().ok());
     let host = host.or_else(|| request.uri().host()).unwrap_or_default();
     let route = table.find(host, request.uri().path()).cloned();
-    route.ok_or_else(|| Failure::new(Kind::NotFound, "no route leads there"))
+    route.ok_or_else(|| Failure::new(Kind::NotFound, "no route matches the host and path"))
 }
 
 fn find_team<'a>(
@@ -250,12 +255,12 @@
     }
     match head.api_key.as_deref().and_then(|key| table.team_of(key)) {
         Some(team) if relay.certainty().may_trust_keys() => Ok(Some(team)),
-        Some(_) => Err(unsure("whether the key still holds is not known")),
-        None => Err(Failure::new(Kind::UnknownKey, "the key belongs to no team")),
+        Some(_) => Err(uncertain("whether the key still holds is not known")),
+        None => Err(Failure::new(Kind::UnknownKey, "the key does not belong to any team")),
     }
 }
 
-/// Whether a request has no route, or no team where its route asks for one.
+/// Whether a request matches no route, or has no valid key although its route requires a team.
 fn is_denied(table: &RouteTable, request: &Request<()>, head: &CallHead) -> bool {
     let Ok(route) = find_route(table, request) else {
         return true;
@@ -270,16 +275,16 @@
     let chosen = place.and_then(|place| route.splits.get(place));
     chosen
         .map(|split| split.service.clone())
-        .ok_or_else(|| Failure::new(Kind::Internal, "the route leads to no service"))
+        .ok_or_else(|| Failure::new(Kind::Internal, "the route has no service"))
 }
 
-/// How urgent a request is: its team's rank goes before its route's.
+/// Urgency of a request, where 0 is served first. The team's priority weighs more than the route's.
 fn urgency(team: Option<&Team>, route: &Route) -> u8 {
-    let urgency = team.map_or(0, |team| team.priority.saturating_mul(TEAM_URGENCY));
+    let urgency = team.map_or(0, |team| team.priority.saturating_mul(TEAM_PRIORITY_WEIGHT));
     urgency.saturating_add(route.priority).min(LEAST_URGENT)
 }
 
-fn put_together(
+fn build_call(
     team: Option<&Team>,
     urgency: u8,
     head: CallHead,
@@ -306,8 +311,8 @@
     }
 }
 
-/// Takes what the call costs of its team's allowance; the amount taken. Where the allowance is too
-/// small although the leader had more for the team, it is asked.
+/// Charges a call against its team's allowance and returns the amount charged. If the allowance is
+/// too small but the leader had more for the team, the leader is asked.
 async fn take_allowance(relay: &Relay, team: Option<&Team>, call: &Call) -> Result<f64, Failure> {
     let Some(team) = team else {
         return Ok(0.0);
@@ -324,10 +329,12 @@
             }
             Err(short) => short,
         };
-        if !short.ask_leader || !wait_demand(relay, &team.name, began + ASK_TIME, pause).await {
+        if !short.ask_leader
+            || !wait_for_allowance(relay, &team.name, began + LEADER_REPLY_TIMEOUT, pause).await
+        {
             break short;
         }
-        pause = (pause * 2).max(RETRY_PAUSE);
+        pause = (pause * 2).max(DEMAND_RETRY_PAUSE);
     };
     relay.allowances().record_refusal(&team.name, cost);
     let waited = began.elapsed().as_millis() as u64;
@@ -336,16 +343,18 @@
         exhausted = short.exhausted, known = short.known, waited_ms = waited,
     );
     if !short.exhausted {
-        // Nobody has said that the limit is reached, so it is not claimed.
-        return Err(unsure("what the team may use is not known, as no leader answers in time"));
+        // No leader has reported the limit as exhausted, so the refusal must not claim it.
+        return Err(uncertain(
+            "the rest of the team's limit is not known: no leader answered in time",
+        ));
     }
-    let text = format!("team {} is over its limit: {cost} asked for", team.name);
+    let text = format!("team {} is over its rate limit: {cost} units requested", team.name);
     Err(Failure::new(Kind::RateLimit, text).after(Some(short.retry_after)))
 }
 
-/// Has the leader asked for a team after `pause`, and waits for its answer; `false` if there is none by
-/// `until`.
-async fn wait_demand(
+/// Has the leader asked for more allowance for a team after `pause` and waits for its answer.
+/// Returns `false` if there is none by `until`.
+async fn wait_for_allowance(
     relay: &Relay,
     team: &TeamName,
     until: tokio::time::Instant,
@@ -367,11 +376,11 @@
     }
 }
 
-/// Records how long a request waited for its team's allowance, and says so where callers feel it.
+/// Records how long a request waited for its team's allowance; long waits are also logged.
 fn record_wait(relay: &Relay, id: &str, team: &Team, began: tokio::time::Instant) {
     let waited = began.elapsed();
     relay.context.metrics.record_allowance_wait(waited);
-    if waited >= LONG_WAIT {
+    if waited >= LOGGED_ALLOWANCE_WAIT {
         let (team, waited) = (&team.name, waited.as_millis() as u64);
         tracing::info!(event = "allowance_waited", id, %team, waited_ms = waited);
     }
