--- a/src/control/heartbeat.rs
+++ b/src/control/heartbeat.rs
@@ -17,7 +17,7 @@
 use crate::decide::loads::LoadSample;
 use crate::decide::quarantine::{EndReport, QuarantineUpdate};
 use crate::decide::releases::{ReleaseUpdate, TrialReport};
-use crate::decide::telling::Telling;
+use crate::decide::report_delta::DeltaSender;
 use crate::group::access::Access;
 use crate::ids::{
     BoxId, DataCentre, Incarnation, Revision, ServiceName, TeamName, Version, Window,
@@ -119,7 +119,7 @@
 /// What the two sides have of each other.
 #[derive(Default)]
 struct Told {
-    telling: Telling,
+    telling: DeltaSender,
     /// The print of what the leader told of engines last.
     models: Option<ContentHash>,
 }
@@ -162,7 +162,7 @@
     let asked = clock::now();
     let mut report = relay.allowances().heartbeat_report(asked);
     let turn = report.seq;
-    let news = told.telling.news(turn, relay.usage().counts(), relay.engines().learned());
+    let news = told.telling.delta(turn, relay.usage().counts(), relay.engines().learned());
     let beat = BoxHeartbeat {
         box_id: box_id.clone(),
         data_centre: Some(relay.context.topology.own().clone()),
@@ -170,7 +170,7 @@
         list: relay.servers.index_print(),
         revision: relay.context.board.revision(),
         document: relay.context.board.document().version,
-        whole: news.whole,
+        whole: news.is_full,
         usage: news.usage.clone(),
         offered: relay.offered().rates(Instant::now()),
         engines: news.engines.clone(),
@@ -182,7 +182,7 @@
         lives: relay.servers.unreported_incarnations(),
         quarantine: relay.quarantine().tell(Instant::now()),
         turn,
-        after: news.after,
+        after: news.base_seq,
         relays: relay.known_relay_count(),
     };
     match access.beat(&beat, ANSWER_TIME).await {
@@ -200,7 +200,7 @@
             relay.context.board.record_answer(reply.document, access.leader(), asked, age);
             quarantine::take_answer(relay, &beat.quarantine, reply.quarantine, reply.lacks);
             relay.usage().forget(reply.settled);
-            told.telling.answered(news, reply.lacks, reply.settled);
+            told.telling.handle_answer(news, reply.lacks, reply.settled);
             if reply.lacks {
                 relay.heartbeat_requested.notify_one();
             }
--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -23,7 +23,7 @@
 use crate::decide::loads::{self, LoadPool};
 use crate::decide::presence::{ABSENT_TIME, Presence};
 use crate::decide::quarantine::{EndReport, FleetQuarantine, QuarantineUpdate};
-use crate::decide::telling::{Heard, News};
+use crate::decide::report_delta::{DeltaReceiver, ReportDelta};
 use crate::decide::throttle::{LimitLease, LimitReport};
 use crate::decide::token_bucket::{self, ReserveNote, TokenBucket, Tolerance};
 use crate::group::driver::Unanswered;
@@ -68,7 +68,7 @@
     /// The published document that it had.
     document: Version,
     offered: BTreeMap<ServiceName, Offered>,
-    told: Heard,
+    told: DeltaReceiver,
 }
 
 /// What a team was refused of late.
@@ -196,9 +196,15 @@
         self.record_incarnations(beat.lives, now);
         let quarantine = self.record_ends(beat.quarantine, now);
         let (whole, turn, after) = (beat.whole, beat.turn, beat.after);
-        let news = News { whole, turn, after, usage: beat.usage, engines: beat.engines };
+        let news = ReportDelta {
+            is_full: whole,
+            seq: turn,
+            base_seq: after,
+            usage: beat.usage,
+            engines: beat.engines,
+        };
         let mut told = self.words.remove(&key).map(|word| word.told).unwrap_or_default();
-        let lacks = told.take(news, self.settled);
+        let lacks = told.apply(news, self.settled);
         let word = BoxState { heard: now, document: beat.document, offered: beat.offered, told };
         self.words.insert(key, word);
         let relays = self.presence.relays(now);
--- a/src/control/models.rs
+++ b/src/control/models.rs
@@ -1,10 +1,10 @@
 //! Models of engines on their way between boxes and the leader: told when they say something new, by the
-//! leader here and by boxes in [`crate::decide::telling`]. They change slowly, and words go out several
+//! leader here and by boxes in [`crate::decide::report_delta`]. They change slowly, and words go out several
 //! times a second.
 
 use serde::{Deserialize, Serialize};
 
-use crate::decide::telling::is_news;
+use crate::decide::report_delta::models_changed;
 use crate::member::table::fingerprint;
 use crate::relay::list::ContentHash;
 use crate::state::notes::Models;
@@ -36,7 +36,7 @@
         models: &Models,
         held: Option<ContentHash>,
     ) -> Option<ModelsUpdate> {
-        if self.0.as_ref().is_none_or(|word| is_news(&word.models, models)) {
+        if self.0.as_ref().is_none_or(|word| models_changed(&word.models, models)) {
             self.0 = Some(ModelsUpdate::new(models));
         }
         self.0.as_ref().filter(|word| Some(word.print) != held).cloned()
--- a/src/control/share.rs
+++ b/src/control/share.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::clock;
-use crate::decide::admit::TeamUse;
-use crate::decide::share::{LEASE, Share, Shares, even_part};
+use crate::decide::admission::TeamUsage;
+use crate::decide::share::{LEASE_MS, Share, Shares, even_share};
 use crate::group::driver::Unanswered;
 use crate::ids::{BoxId, TeamName};
 use crate::node::Node;
@@ -56,7 +56,7 @@
         match node.access.lease_shares(&request, ANSWER_TIME).await {
             Ok(leased) => {
                 node.board.shares.store(Arc::new(Shares { leased }));
-                until = asked + Duration::from_millis(LEASE);
+                until = asked + Duration::from_millis(LEASE_MS);
             }
             Err(_) if clock::now() >= until => {
                 node.board.shares.store(Arc::default());
@@ -75,12 +75,12 @@
 
 fn wanted(
     configuration: &Configuration,
-    demand: &BTreeMap<TeamName, (TeamUse, u32)>,
+    demand: &BTreeMap<TeamName, (TeamUsage, u32)>,
 ) -> BTreeMap<TeamName, Share> {
     let boxes = configuration.limits.entry_boxes;
-    let of_team = |(name, (used, refused)): (&TeamName, &(TeamUse, u32))| {
+    let of_team = |(name, (used, refused)): (&TeamName, &(TeamUsage, u32))| {
         let team = configuration.teams.get(name)?;
-        let even = even_part(whole(team), boxes);
+        let even = even_share(whole(team), boxes);
         let concurrent = used.concurrent + used.concurrent / 4 + refused * REFUSED_WEIGHT;
         let budget = used.budget.0 + used.budget.0 / 4 + u64::from(*refused) * REFUSED_TOKENS;
         let share = Share {
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -4,9 +4,9 @@
 //! - [`absence`], [`hazard`]: which data centres have no reclaimable engines, for how long, and which may be
 //!   next.
 //! - [`memory`]: what a box keeps in memory, and when it takes no more; [`slowness`]: whom it lets go.
-//! - [`pause`]: which servers a box leaves alone because they asked for it.
+//! - [`pause`]: the pauses that servers ask a box for.
 //! - [`policy`]: operators' short programs that say where work goes and what may wait.
-//! - [`admit`]: whether a request may run now, within its team's limits.
+//! - [`admission`]: whether a request may run now, within its team's limits.
 //! - [`allowance`], [`token_bucket`]: a team's rate limit, on one box and over all boxes.
 //! - [`engine`], [`capacity`]: what engines can do, learned, and how many a load is worth.
 //! - [`certainty`]: what a box may say by the routes and keys that it holds.
@@ -17,27 +17,26 @@
 //! - [`exposure`], [`verdict`]: how far a new release goes, and whether it is bad; [`releases`] and [`rollout`]
 //!   are what a box and the leader make of it.
 //! - [`presence`]: how many relays there are, as a leader can tell.
-//! - [`budget`]: how often relays may send again.
+//! - [`retry_budgets`]: how many requests a relay may retry, by service.
 //! - [`lives`]: which life a server is in, and when a box asks it.
 //! - [`loads`]: what servers' loads a box is told.
 //! - [`subset`]: which servers of a large fleet a box knows.
-//! - [`queue`]: who goes next when capacity frees up.
+//! - [`queue`]: which waiting request is next when capacity becomes available.
 //! - [`route`]: which backend server takes a request.
-//! - [`retry`]: whether another attempt may be made.
+//! - [`retry`]: how many further attempts an entry node may make.
 //! - [`reclaim`]: what becomes of a stream whose engine is leaving.
-//! - [`share`]: which part of a fleet-wide limit each node may use.
+//! - [`share`]: which share of a fleet-wide limit each node may use.
 //! - [`orders`]: what orders for engines stand for until the list shows it.
 //! - [`spend`]: how many engines a service is to have, where, of which kind.
 //! - [`intervals`]: how often boxes report to the leader and look for a lost one.
 //! - [`nearest`]: which replica a box follows the configuration at.
-//! - [`telling`]: what of a box's word is news to the leader.
-//! - [`throttle`], [`limit_leases`]: the limits that backend servers name, at a box and over all boxes.
+//! - [`report_delta`]: incremental reports of a box to the leader.
+//! - [`throttle`], [`limit_leases`]: the request limits that backend servers announce, at a box and over all boxes.
 //! - [`topology`]: which data centres make up which region, and how far they are.
 
 pub mod absence;
-pub mod admit;
+pub mod admission;
 pub mod allowance;
-pub mod budget;
 pub mod capacity;
 pub mod certainty;
 pub mod choose;
@@ -62,7 +61,9 @@
 pub mod queue;
 pub mod reclaim;
 pub mod releases;
+pub mod report_delta;
 pub mod retry;
+pub mod retry_budgets;
 pub mod rollout;
 pub mod route;
 pub mod share;
@@ -70,7 +71,6 @@
 pub mod spend;
 pub mod spill;
 pub mod subset;
-pub mod telling;
 pub mod throttle;
 pub mod token_bucket;
 pub mod topology;
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -1,44 +1,45 @@
-//! Whether another attempt may be made: a budget as a share of requests, so that a lost data centre
-//! does not turn into a storm of retries.
+//! The retry budget of an entry node: further attempts are limited to a percentage of the requests, so that the loss of
+//! a data centre doesn't cause a retry storm.
 
-/// Attempts the budget holds at most, in hundredths.
-const FULL: u64 = 2_000;
+/// The most credit that the budget holds, in hundredths of an attempt.
+const MAX_CREDIT: u64 = 2_000;
 
-/// What one attempt costs, in hundredths.
-const COST: u64 = 100;
+/// The cost of one attempt, in hundredths.
+const ATTEMPT_COST: u64 = 100;
 
-/// Attempts a node that has just started may make, in hundredths.
-const START: u64 = 1_000;
+/// The credit of a node that has just started, in hundredths of an attempt.
+const INITIAL_CREDIT: u64 = 1_000;
 
-/// The budget: each request adds a share of an attempt, each further attempt takes a whole one.
+/// The budget: each request adds a part of an attempt, each further attempt costs a whole one.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RetryBudget {
-    held: u64,
+    /// In hundredths of an attempt.
+    credit: u64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { held: START }
+        Self { credit: INITIAL_CREDIT }
     }
 }
 
 impl RetryBudget {
-    /// A request begins; `percent` of an attempt is added.
-    pub fn earn(&mut self, percent: u32) {
-        self.held = (self.held + u64::from(percent)).min(FULL);
+    /// Adds what a new request earns: `percent` of an attempt.
+    pub fn deposit(&mut self, percent: u32) {
+        self.credit = (self.credit + u64::from(percent)).min(MAX_CREDIT);
     }
 
-    /// Takes an attempt, if the budget has one.
-    pub fn spend(&mut self) -> bool {
-        if self.held < COST {
+    /// Takes one attempt from the budget. Returns `false` if there is none.
+    pub fn try_withdraw(&mut self) -> bool {
+        if self.credit < ATTEMPT_COST {
             return false;
         }
-        self.held -= COST;
+        self.credit -= ATTEMPT_COST;
         true
     }
 
-    /// Whole attempts left.
-    pub fn left(&self) -> u64 {
-        self.held / COST
+    /// The number of whole attempts left.
+    pub fn available(&self) -> u64 {
+        self.credit / ATTEMPT_COST
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -20,7 +20,7 @@
 use crate::control::document_fetch;
 use crate::control::document_source::DocumentSource;
 use crate::control::lead::LeaderState;
-use crate::decide::admit::Admission;
+use crate::decide::admission::Admission;
 use crate::decide::retry::RetryBudget;
 use crate::decide::share::Lessor;
 use crate::entry::dispatch::Dispatcher;
--- a/src/node/requests.rs
+++ b/src/node/requests.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use super::{GenerationKey, Node};
-use crate::decide::admit::{TeamLimit, TeamUse};
+use crate::decide::admission::{TeamLimit, TeamUsage};
 use crate::entry::generation::Generation;
 use crate::error::{Failure, Kind};
 use crate::ids::{RequestKey, TeamName};
@@ -43,16 +43,16 @@
 
     /// Adds a request's share to the retry budget.
     pub fn earn_retry(&self, percent: u32) {
-        lock(&self.retries).earn(percent);
+        lock(&self.retries).deposit(percent);
     }
 
     /// Takes an attempt from the retry budget, if it has one.
     pub fn spend_retry(&self) -> bool {
-        lock(&self.retries).spend()
+        lock(&self.retries).try_withdraw()
     }
 
     /// The teams' demand since last asked.
-    pub(crate) fn take_demand(&self) -> BTreeMap<TeamName, (TeamUse, u32)> {
+    pub(crate) fn take_demand(&self) -> BTreeMap<TeamName, (TeamUsage, u32)> {
         lock(&self.admission).take_demand()
     }
 
--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -15,8 +15,8 @@
 use super::table::Route;
 use crate::backend::{Exchange, Reuse, SendFault};
 use crate::clock;
-use crate::decide::budget::RetryLimit;
 use crate::decide::releases::AnswerOutcome;
+use crate::decide::retry_budgets::RetryLimit;
 use crate::decide::throttle::{LimitChange, LimitNotice};
 use crate::error::Kind;
 
--- a/src/relay/attempts.rs
+++ b/src/relay/attempts.rs
@@ -142,7 +142,7 @@
         if self.reached > 0 && quarantine::check(relay, call).is_err() {
             return Err(self.final_failure(relay));
         }
-        if self.reached > 0 && !relay.retries().spend(&self.service) {
+        if self.reached > 0 && !relay.retries().try_withdraw(&self.service) {
             return Err(self.final_failure(relay));
         }
         let limit = restraint::limit(relay, &known);
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -170,7 +170,7 @@
     let call = build_call(team, urgency, head, request, read, arrived, until);
     quarantine::check(relay, &call)?;
     let charged = take_allowance(relay, team, &call).await?;
-    relay.retries().earn(&service, &retry_limit(relay));
+    relay.retries().deposit(&service, &retry_limit(relay));
     relay.offered().count(&service, call.head.generation.unwrap_or_default(), route.objective);
     let call = Arc::new(call);
     let (relay_kept, call_kept, route_kept) = (relay.clone(), call.clone(), route.clone());
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 use emberturn::blackboard::fleet::{SUBSET, subset};
-use emberturn::decide::admit::{Admission, TeamLimit};
+use emberturn::decide::admission::{Admission, TeamLimit};
 use emberturn::decide::queue::{WaitQueue, Waiter};
 use emberturn::decide::reclaim::{StreamFacts, Way, choose as choose_way};
 use emberturn::decide::retry::RetryBudget;
 use emberturn::decide::route::{Candidate, Need, choose};
-use emberturn::decide::share::{LEASE, Lessor, Share, Shares};
+use emberturn::decide::share::{LEASE_MS, Lessor, Share, Shares};
 use emberturn::error::{Kind, RunState};
 use emberturn::ids::{BoxId, ServiceName, TeamName};
 use emberturn::state::config::{BackendServer, Class, Configuration};
@@ -59,7 +59,7 @@
             let wanted = Share { concurrent: wanted, budget: Tokens(u64::from(wanted) * 100) };
             let share = lessor.grant(now, &box_id, &team(0), whole, wanted);
             if !lost {
-                held.insert(number, (share, now + LEASE));
+                held.insert(number, (share, now + LEASE_MS));
             }
             let mut sum = (0, 0);
             for number in 0..5_u8 {
@@ -74,14 +74,14 @@
 
     /// A new leader grants nothing while leases of the former one may hold.
     #[test]
-    fn new_leader_waits_for_the_former_leases(start in 0_u64..10_000, early in 0..LEASE) {
+    fn new_leader_waits_for_the_former_leases(start in 0_u64..10_000, early in 0..LEASE_MS) {
         let whole = Share { concurrent: 60, budget: Tokens(6_000) };
         let wanted = Share { concurrent: 10, budget: Tokens(100) };
         let mut lessor = Lessor::new(start);
         let box_id: BoxId = "b".parse().unwrap();
         let none = lessor.grant(start + early, &box_id, &team(0), whole, wanted);
         prop_assert_eq!(none, Share::default());
-        prop_assert_eq!(lessor.grant(start + LEASE, &box_id, &team(0), whole, wanted), wanted);
+        prop_assert_eq!(lessor.grant(start + LEASE_MS, &box_id, &team(0), whole, wanted), wanted);
     }
 
     /// Admitted requests never exceed the limits, and what is released is there again.
@@ -106,7 +106,7 @@
             }
             let sum: u64 = inside.iter().map(|tokens| tokens.0).sum();
             prop_assert!(inside.len() <= 5 && sum <= 1_000);
-            prop_assert_eq!(admission.used(&team(0)).budget, Tokens(sum));
+            prop_assert_eq!(admission.usage(&team(0)).budget, Tokens(sum));
         }
     }
 
@@ -114,12 +114,12 @@
     #[test]
     fn retries_stay_within_their_share(wishes in prop::collection::vec(any::<bool>(), 1..3_000)) {
         let mut budget = RetryBudget::default();
-        let start = budget.left();
+        let start = budget.available();
         let (mut requests, mut retries) = (0_u64, 0_u64);
         for wish in wishes {
             requests += 1;
-            budget.earn(10);
-            retries += u64::from(wish && budget.spend());
+            budget.deposit(10);
+            retries += u64::from(wish && budget.try_withdraw());
         }
         prop_assert!(retries <= requests / 10 + start + 1);
     }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
 use emberturn::decide::allowance::{Allowances, DemandReport, Grant, LEASE_DURATION, TeamDemand};
-use emberturn::decide::budget::{RetryBudgets, RetryLimit};
 use emberturn::decide::presence::Presence;
+use emberturn::decide::retry_budgets::{RetryBudgets, RetryLimit};
 use emberturn::decide::token_bucket::{RateLimit, ReserveNote, TeamReport, TokenBucket, Tolerance};
 use emberturn::ids::{BoxId, Incarnation, ServiceName, TeamName, Window};
 use emberturn::peer::method::{DemandReply, DemandRequest};
@@ -122,8 +122,9 @@
     for _ in 0..boxes {
         let mut budgets = RetryBudgets::default();
         for _ in 0..requests {
-            budgets.earn(&service, &limit);
-            spent += u32::from(budgets.spend(&service)) + u32::from(budgets.spend(&service));
+            budgets.deposit(&service, &limit);
+            spent += u32::from(budgets.try_withdraw(&service))
+                + u32::from(budgets.try_withdraw(&service));
         }
     }
     let bound = 0.2 * f64::from(requests * boxes) + 50.0;
@@ -138,8 +139,8 @@
     let mut spent = 0;
     for _ in 0..boxes {
         let mut budgets = RetryBudgets::default();
-        budgets.earn(&service, &RetryLimit { ratio: 0.2, floor, boxes: None });
-        while budgets.spend(&service) {
+        budgets.deposit(&service, &RetryLimit { ratio: 0.2, floor, boxes: None });
+        while budgets.try_withdraw(&service) {
             spent += 1;
         }
     }
@@ -156,8 +157,8 @@
     // The part is 7, and a number that goes to and fro brings no more.
     for boxes in [None, Some(10), Some(20), Some(10), Some(10)] {
         limit.boxes = boxes;
-        budgets.earn(&service, &limit);
-        while budgets.spend(&service) {
+        budgets.deposit(&service, &limit);
+        while budgets.try_withdraw(&service) {
             spent += 1;
         }
     }
--- a/tests/names.rs
+++ b/tests/names.rs
@@ -14,7 +14,7 @@
 const DONE: [&str; 3] = ["src/control", "src/decide", "src/relay"];
 
 /// Type names that still stand for two things, each to go.
-const DOUBLED: [&str; 19] = [
+const DOUBLED: [&str; 16] = [
     "Action",
     "Arguments",
     "Call",
@@ -22,12 +22,9 @@
     "Claim",
     "Command",
     "End",
-    "Heard",
     "Limits",
     "Load",
     "Need",
-    "News",
-    "Outcome",
     "Phase",
     "Plan",
     "Reader",
--- a/tests/telling.rs
+++ b/tests/telling.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use emberturn::decide::telling::{Heard, News, Telling};
+use emberturn::decide::report_delta::{DeltaReceiver, DeltaSender, ReportDelta};
 use emberturn::ids::{TeamName, Window};
 use emberturn::relay::usage::Counts;
 use emberturn::state::notes::Models;
@@ -41,14 +41,14 @@
 
 #[derive(Default)]
 struct World {
-    telling: Telling,
+    telling: DeltaSender,
     usage: Counts,
     engines: Models,
-    leader: Option<Heard>,
+    leader: Option<DeltaReceiver>,
     settled: Window,
     turn: u64,
     /// A word on its way, and for how many events more.
-    late: Option<(News, u32)>,
+    late: Option<(ReportDelta, u32)>,
 }
 
 impl World {
@@ -63,16 +63,16 @@
         (model.rate, model.weight) = (model.rate * (1.0 + part), 256.0);
     }
 
-    fn news(&mut self) -> News {
+    fn news(&mut self) -> ReportDelta {
         self.turn += 1;
-        self.telling.news(self.turn, self.usage.clone(), self.engines.clone())
+        self.telling.delta(self.turn, self.usage.clone(), self.engines.clone())
     }
 
     /// Has a word that was held up arrive, once it is due.
     fn arrive(&mut self) {
         match self.late.take() {
             Some((news, 0)) => {
-                self.leader.get_or_insert_default().take(news, self.settled);
+                self.leader.get_or_insert_default().apply(news, self.settled);
             }
             Some((news, events)) => self.late = Some((news, events - 1)),
             None => {}
@@ -85,10 +85,10 @@
         if !arrives {
             return false;
         }
-        let lacks = self.leader.get_or_insert_default().take(news.clone(), self.settled);
+        let lacks = self.leader.get_or_insert_default().apply(news.clone(), self.settled);
         if answered {
             self.usage.retain(|window, _| *window > self.settled);
-            self.telling.answered(news, lacks, self.settled);
+            self.telling.handle_answer(news, lacks, self.settled);
         }
         lacks
     }
@@ -148,7 +148,7 @@
     let news = world.news();
     let windows: BTreeMap<_, _> = news.usage.into_iter().collect();
     assert_eq!(windows.keys().collect::<Vec<_>>(), [&Window(2)]);
-    assert!(news.engines.is_none() && !news.whole);
+    assert!(news.engines.is_none() && !news.is_full);
     world.learn(0.1);
     assert!(world.news().engines.is_some());
 }
