--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -1,4 +1,4 @@
-//! One send of a call to one backend server, and what a failed one proves.
+//! A single send of a call to a backend server, and what a failed send proves about the request.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -20,31 +20,31 @@
 use crate::decide::throttle::{LimitChange, LimitNotice};
 use crate::error::Kind;
 
-/// A connection on which an unrepeatable request goes has rested no longer than this: the other side
-/// hardly closes it at that moment.
+/// Longest idle time of a pooled connection that carries a non-repeatable request. The server is
+/// unlikely to close a connection that was used this recently at the moment it is reused.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(2);
 
-/// Bytes of a refusal that are read so that its connection can be used again.
+/// Bytes of a refusal's body that are read so that the connection can be reused.
 const MAX_REFUSAL_BYTES: usize = 16 << 10;
 
-/// How long that may take.
+/// Time limit for reading the body of a refusal.
 const REFUSAL_READ_TIME: Duration = Duration::from_millis(100);
 
-/// Why a send gave no answer to pass on.
+/// Why a send produced no answer that can be forwarded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SendFailure {
-    /// There is proof that the request has not run. `arrived`: the server itself said so.
+    /// It is proven that the request did not run.
     NotRun {
-        /// Whether it reached a server.
+        /// Whether a server received the request and refused it; otherwise it never reached one.
         arrived: bool,
-        /// What happened.
+        /// Description of the failure.
         detail: String,
     },
-    /// It may have run.
+    /// The request may have run.
     Unknown {
-        /// What to say of it.
+        /// The kind of failure to report to the caller.
         kind: Kind,
-        /// What happened.
+        /// Description of the failure.
         detail: String,
     },
 }
@@ -54,7 +54,7 @@
         Self::Unknown { kind, detail: detail.into() }
     }
 
-    /// What a broken or silent exchange proves.
+    /// Maps a transport fault to what it proves about the request.
     pub fn from_fault(fault: SendFault) -> Self {
         let detail = fault.to_string();
         match fault {
@@ -72,7 +72,7 @@
         matches!(self, Self::Unknown { .. })
     }
 
-    /// What happened.
+    /// Description of the failure.
     pub fn detail(&self) -> &str {
         match self {
             Self::NotRun { detail, .. } | Self::Unknown { detail, .. } => detail,
@@ -80,7 +80,7 @@
     }
 }
 
-/// What an answer's head allows.
+/// What the relay does with a reply, decided by its head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReplyClass {
     Forward,
@@ -89,8 +89,8 @@
     Invalid(&'static str),
 }
 
-/// Judges an answer's head. Only the server's own word says that a request has not run: a status
-/// that would promise as much without that word is not passed on.
+/// Classifies a reply by its head. Only an explicit statement by the server proves that a request
+/// did not run; a status that implies it without that statement is not forwarded.
 fn classify_reply(status: StatusCode, head: &ReplyHead, encoded: bool) -> ReplyClass {
     if head.not_run || status == StatusCode::MISDIRECTED_REQUEST {
         return ReplyClass::NotRun;
@@ -101,45 +101,45 @@
     if status.is_success() {
         return match (head.signed, encoded) {
             (true, false) => ReplyClass::Forward,
-            (false, _) => ReplyClass::Invalid("the answer is not vouched for"),
-            (true, true) => ReplyClass::Invalid("the answer is encoded"),
+            (false, _) => ReplyClass::Invalid("the answer is not signed"),
+            (true, true) => ReplyClass::Invalid("the answer has a content encoding"),
         };
     }
     match status {
         StatusCode::TOO_MANY_REQUESTS
         | StatusCode::SERVICE_UNAVAILABLE
-        | StatusCode::REQUEST_TIMEOUT => {
-            ReplyClass::Invalid("the status promises more than was said")
-        }
+        | StatusCode::REQUEST_TIMEOUT => ReplyClass::Invalid(
+            "the status implies that the request did not run, but the server did not say so",
+        ),
         _ if status.is_server_error() => ReplyClass::Failed,
         _ if status.is_client_error() => ReplyClass::Forward,
-        _ => ReplyClass::Invalid("the status is no answer"),
+        _ => ReplyClass::Invalid("unexpected status"),
     }
 }
 
-/// From where a send goes on.
+/// The state from which a server starts or continues a call.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StartState<'a> {
-    /// The last event that the caller has.
+    /// Id of the last event the caller has received.
     pub last_event_id: Option<u64>,
-    /// A server that likely keeps a part of the prompt.
+    /// A server that probably has part of the prompt in its KV cache.
     pub prefix_source: Option<SocketAddr>,
-    /// The memory of the run that goes on.
+    /// The exported KV cache of the run to continue.
     pub kv_export: Option<&'a KvCacheExport>,
 }
 
-/// An answer whose head may be passed on.
+/// A reply whose head has been checked and may be forwarded.
 pub struct CheckedReply {
-    /// The exchange, at its body.
+    /// The exchange, with its body still unread.
     pub exchange: Exchange,
-    /// Whether the server itself says that the request failed.
+    /// Whether the server reports that the request failed.
     pub failed: bool,
 }
 
-/// Sends a call to a server and waits for the head of its answer, at most `limit`.
+/// Sends a call to a server and waits for the head of the reply, for at most `limit`.
 ///
 /// # Errors
-/// What is known of the request then.
+/// What is known about the request when there is no reply to forward.
 pub async fn send(
     relay: &Relay,
     call: &Call,
@@ -149,7 +149,7 @@
     limit: Duration,
 ) -> Result<CheckedReply, SendFailure> {
     if known.state.is_over() {
-        let detail = format!("{} has started again", known.server.id);
+        let detail = format!("{} has restarted", known.server.id);
         return Err(SendFailure::NotRun { arrived: false, detail });
     }
     let request = build_request(relay, call, known, start);
@@ -175,7 +175,7 @@
     if let Some(load) = head.load {
         record_load(relay, known, load);
     }
-    // A misdirected answer is another server's.
+    // A misdirected request was answered by a different server.
     if exchange.status != StatusCode::MISDIRECTED_REQUEST {
         record_server_notices(relay, known, &head);
     }
@@ -192,18 +192,19 @@
         }
         ReplyClass::NotRun => {
             if exchange.status == StatusCode::MISDIRECTED_REQUEST {
-                // Another server has its address: this one is gone.
+                // A different server listens at this address, so the intended one is gone.
                 ends::record_end(relay, known);
                 known.leave_at_once();
                 relay.servers.doubt(known);
             }
             if head.load.is_none() && exchange.status == StatusCode::SERVICE_UNAVAILABLE {
-                // Full: the next request is to know.
+                // The server is full. Recording this keeps the next request from choosing it.
                 record_load(relay, known, ServerLoad { running: known.server.slots, waiting: 1 });
             }
-            let mut detail = format!("{} refused with {}", known.server.id, exchange.status);
+            let mut detail =
+                format!("{} refused the request with {}", known.server.id, exchange.status);
             if let Some(pause) = head.requested_pause {
-                detail += &format!(" and asks for a pause of {} ms", pause.as_millis());
+                detail += &format!(" and requested a pause of {} ms", pause.as_millis());
             }
             let _ = exchange.read_whole(MAX_REFUSAL_BYTES, REFUSAL_READ_TIME).await;
             Err(SendFailure::NotRun { arrived: true, detail })
@@ -218,7 +219,8 @@
     }
 }
 
-/// Counts a request that reached a server, and its answer; a new connection tells how far that is.
+/// Counts the request and has the bytes of its reply counted. The connect time of a new connection
+/// is a distance sample.
 fn count_exchange(relay: &Relay, call: &Call, known: &Known, mut exchange: Exchange) -> Exchange {
     let data_centre = &known.server.data_centre;
     let reach = relay.context.topology.reach(data_centre);
@@ -230,15 +232,15 @@
     exchange
 }
 
-/// Notes a server's own word that it failed a request, or a word that is none.
+/// Records a reply in which the server reports a failure, or an invalid reply.
 fn record_failed_answer(relay: &Relay, known: &Known, route: &Route) {
     record_failure(relay, known);
     known.state.fail_route(&route.name);
     relay.record_outcome(known, &route.name, AnswerOutcome::Failed);
 }
 
-/// Notes that a send or a stream broke off. Silence alone is what load does as well: reports asked for it
-/// would add to it.
+/// Records that a send or a stream failed. After a timeout the server's incarnation is not queried:
+/// overload also causes timeouts, and the query would add to it.
 pub(super) fn record_fault(relay: &Relay, known: &Known, timed_out: bool) {
     record_failure(relay, known);
     if !timed_out {
@@ -246,7 +248,8 @@
     }
 }
 
-/// Notes a failure. One that is set aside for a run of them may have started again.
+/// Records a failure. A server that is ejected after several failures in a row may have restarted,
+/// so its incarnation is queried.
 fn record_failure(relay: &Relay, known: &Known) {
     if known.state.fail() {
         tracing::warn!(event = "backend_server_set_aside", backend_server = %known.server.id);
@@ -254,7 +257,8 @@
     }
 }
 
-/// Records what a server asks of this box with an answer: a limit, a pause, or nothing more as it leaves.
+/// Records what a reply asks of this box: a rate limit, a pause, or no further requests because the
+/// server is shutting down.
 fn record_server_notices(relay: &Relay, known: &Known, head: &ReplyHead) {
     record_limit(relay, known, head);
     if let Some(pause) = head.requested_pause {
@@ -266,8 +270,8 @@
     }
 }
 
-/// Records what an answer says of its server's limit. Only an answer that the server vouches for shows that its limit
-/// has ended.
+/// Records the rate limit that a reply announces. Only a signed reply without a limit shows that an
+/// earlier limit has ended.
 fn record_limit(relay: &Relay, known: &Known, head: &ReplyHead) {
     let names_no_limit = head.limit_notice == LimitNotice::None;
     if names_no_limit && (!(head.matches_request && head.signed) || relay.throttles().is_empty()) {
@@ -313,12 +317,12 @@
     request
 }
 
-/// What becomes of what runs on a server that has started again: the same as at a crash.
+/// The fault of everything that runs on a server that has restarted: the same as after a crash.
 pub(super) fn restart_fault() -> SendFault {
-    SendFault::Broke("the backend server has started again".to_owned())
+    SendFault::Broke("the backend server has restarted".to_owned())
 }
 
-/// The users' retry limit on this box.
+/// The operators' retry limit, as it applies to this box.
 pub fn retry_limit(relay: &Relay) -> RetryLimit {
     RetryLimit {
         ratio: relay.context.settings.retry_ratio,
@@ -327,7 +331,7 @@
     }
 }
 
-/// Time since a moment, in seconds.
+/// Elapsed time in seconds.
 pub fn seconds_since(at: Instant) -> f64 {
     at.elapsed().as_secs_f64()
 }
--- a/src/relay/attempts.rs
+++ b/src/relay/attempts.rs
@@ -1,5 +1,5 @@
-//! All sends of one call: which server is next, whether there may be another send, and what is said
-//! of the call in the end.
+//! All sends of one call: selects the next server, decides whether another send is allowed and
+//! determines the failure that is reported in the end.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,22 +20,23 @@
 use crate::ids::{BackendId, ServiceName};
 use crate::telemetry::volume;
 
-/// The part of its objective a request needs to be worth sending at all.
+/// A request is not sent once less than this fraction of its objective or timeout is left, as 1 /
+/// N.
 const MIN_TIME_LEFT_DIVISOR: u32 = 10;
 
-/// Sends that did not reach any server before a call is given up.
+/// Sends that reached no server before a call is given up.
 const MAX_UNREACHED: u32 = 3;
 
-/// Sends that servers refused before a call is given up: the others are likely full as well.
+/// Sends refused by servers before a call is given up: the other servers are probably full as well.
 const MAX_REFUSED: u32 = 3;
 
-/// How often a server is looked for where another call claimed the place that was found.
+/// How often a server is selected anew after another call claimed the chosen server's last permit.
 const MAX_CLAIM_ATTEMPTS: u32 = 3;
 
-/// When to come back if no backend server is there at all: about the time one takes to appear.
+/// Retry-After when a service has no backend server: about the time one takes to start.
 const NO_SERVER_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
-/// When to come back after servers refused, at least and at most.
+/// Bounds of the Retry-After that is reported after servers refused.
 const REFUSED_RETRY_AFTER: (Duration, Duration) =
     (Duration::from_millis(100), Duration::from_millis(1_500));
 
@@ -43,39 +44,39 @@
 pub struct CallAttempts {
     service: ServiceName,
     tried_servers: Vec<BackendId>,
-    /// Sends that may have run, or are under way.
+    /// Sends that may have run or are in progress.
     maybe_run: u32,
-    /// Sends that reached a server, whatever came of them.
+    /// Sends that reached a server, whatever their outcome.
     reached: u32,
-    /// Sends that reached none.
+    /// Sends that reached no server.
     unreached: u32,
     /// Sends that a server refused.
     refused: u32,
     unknown_outcome: Option<SendFailure>,
     last_failure: Option<SendFailure>,
-    /// The server from which the one chosen last is to copy a part of the prompt.
+    /// The server from whose KV cache the last chosen server copies part of the prompt.
     prefix_source: Option<SocketAddr>,
-    /// What the server chosen last has to read.
+    /// The prompt tokens that the last chosen server has to process.
     prefill_work: PrefillWork,
-    /// How far it is.
+    /// Distance of the last chosen server.
     reach: Reach,
-    /// Which release the next send goes to.
+    /// The release that the next send goes to.
     release_choice: ReleaseChoice,
 }
 
-/// What a server has to read of a prompt, as far as this box knows.
+/// The part of a prompt that a server has to process, as far as this box can tell.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PrefillWork {
-    /// Prompt tokens.
+    /// Prompt tokens that are not in the server's cache.
     pub tokens: u64,
-    /// Those of them that no other request shares.
+    /// Prompt tokens that this request shares with no other.
     pub unshared_tokens: u64,
-    /// Whether none of this box's requests stands before it.
+    /// Whether no other request of this box is waiting for prefill at the server.
     pub is_queue_empty: bool,
 }
 
 impl CallAttempts {
-    /// No send yet.
+    /// Creates the state of a call that has not been sent.
     pub fn new(service: ServiceName) -> Self {
         Self {
             service,
@@ -93,30 +94,30 @@
         }
     }
 
-    /// The service.
+    /// The service that the call goes to.
     pub fn service(&self) -> &ServiceName {
         &self.service
     }
 
-    /// The server from which the one chosen last is to copy a part of the prompt.
+    /// The server from whose KV cache the last chosen server copies part of the prompt.
     pub fn prefix_source(&self) -> Option<SocketAddr> {
         self.prefix_source
     }
 
-    /// What the server chosen last has to read.
+    /// The prompt tokens that the last chosen server has to process.
     pub fn prefill_work(&self) -> PrefillWork {
         self.prefill_work
     }
 
-    /// Whether a call may be sent once more although an earlier send may have run.
+    /// Whether the call may be sent again although an earlier send may have run.
     pub fn may_retry(&self, route: &Route) -> bool {
         route.repeat.is_repeatable() && self.maybe_run < route.attempts
     }
 
-    /// The server for the next send.
+    /// Selects the server for the next send.
     ///
     /// # Errors
-    /// The call's failure, when it may not be sent again, cannot, or is not worth it.
+    /// The call's failure, if it must not or cannot be sent again, or too little time is left.
     pub fn next_server(
         &mut self,
         relay: &Relay,
@@ -138,7 +139,7 @@
         let Some(known) = self.pick_server(relay, call, route) else {
             return Err(self.final_failure(relay));
         };
-        // What ended the server of an earlier send would end the next one's as well.
+        // A request that crashed the server of an earlier send would crash the next one as well.
         if self.reached > 0 && quarantine::check(relay, call).is_err() {
             return Err(self.final_failure(relay));
         }
@@ -161,7 +162,8 @@
         Ok(known)
     }
 
-    /// Notes whether the send leaves the region; one line when such sends begin and end to be many.
+    /// Records whether the send leaves the region. The beginning and the end of a spillover are
+    /// logged.
     fn track_spill(&self, relay: &Relay) {
         if !relay.context.topology.is_split() {
             return;
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Notes how a send to a server ended without an answer to pass on.
+    /// Records a send that produced no answer to forward.
     pub fn record_failure(&mut self, call: &Call, known: &Known, failure: SendFailure) {
         tracing::info!(
             event = "send_missed", id = call.head.id, service = %self.service,
@@ -198,8 +200,9 @@
         self.last_failure = Some(failure);
     }
 
-    /// What is said of the call: that it has not run only if no send may have run. One that was given up
-    /// without an answer, for a server that refused then, may still be running.
+    /// The failure that is reported to the caller. It states that the call did not run only if no
+    /// send may have run: a server that was given up for another one, which then refused, may still
+    /// be running it.
     pub fn final_failure(&self, relay: &Relay) -> Failure {
         if let Some(SendFailure::Unknown { kind, detail }) = &self.unknown_outcome {
             return Failure::new(*kind, detail.clone());
@@ -218,8 +221,8 @@
         Failure::new(Kind::NotReached, last.detail()).after(Some(wait))
     }
 
-    /// When to come back where all servers that are there are left alone for now: when the first of them no longer
-    /// is. Another box may send to them earlier.
+    /// Retry-After when every available server is rate limited or paused: the time until the first
+    /// of them accepts requests again. Another box may send to it earlier.
     fn restraint_wait(&self, relay: &Relay, servers: &[Arc<Known>]) -> Option<Duration> {
         let restraints = Restraints::now(relay, &self.service);
         let mut open = servers.iter().filter(|known| known.is_open());
@@ -230,10 +233,10 @@
         Some(wait.clamp(REFUSED_RETRY_AFTER.0, REFUSED_RETRY_AFTER.1))
     }
 
-    /// A server to which a run may be moved: another one of the same release, in another data centre if
-    /// there is one. Its memory leaves the region only where nobody in it has room: with a data centre go all
-    /// its runs at once, and those that stay would crowd the few servers left. A moved run is still the same
-    /// run, so this is no further send.
+    /// Selects the server that a run is moved to: one of the same release, preferably in another
+    /// data centre. The KV cache leaves the region only if no server in the region has room. When a
+    /// whole data centre shuts down, all its runs move at once and would overload the few remaining
+    /// servers of the region. A moved run counts as the same send.
     pub fn move_target(&self, relay: &Relay, source: &Known) -> Option<Arc<Known>> {
         let topology = &relay.context.topology;
         let region = topology.region_or_own(&source.server.data_centre);
@@ -263,8 +266,8 @@
         found.filter(|known| restraint::claim(relay, known)).cloned()
     }
 
-    /// A server of the release that gets this send; one of the release in force where none of the release
-    /// that is being tried takes it.
+    /// Selects a server of the release that this send goes to. If that is a release under trial and
+    /// none of its servers accepts the send, selects one of the release in force.
     fn pick_server(&mut self, relay: &Relay, call: &Call, route: &Route) -> Option<Arc<Known>> {
         let is_first = self.tried_servers.is_empty();
         self.release_choice = relay.releases().choose(&self.service, is_first, Instant::now());
@@ -307,8 +310,8 @@
     }
 }
 
-/// When a place is likely free: the servers' mean time for a request over their places, times those
-/// that stand in line.
+/// Estimated time until a slot is free: mean service time divided by the number of slots, times the
+/// number of waiting requests.
 fn queue_wait(servers: &[Arc<Known>]) -> Duration {
     let open = servers.iter().filter(|known| known.is_open());
     let (mut slots, mut waiting, mut time, mut count) = (0.0, 1.0, 0.0, 0.0);
--- a/src/relay/pick.rs
+++ b/src/relay/pick.rs
@@ -1,4 +1,5 @@
-//! The backend server for one send of a call: which are compared, and what is known of each.
+//! Selects the backend server for one send: which servers are compared and what is known about
+//! each.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,62 +23,64 @@
 use crate::decide::topology::Reach;
 use crate::ids::{BackendId, ServiceName};
 
-/// Shared tokens from which on a part of a prompt is copied from the engine that keeps it: copying it
-/// takes a tenth of the time of reading it, and costs less.
+/// Shortest shared prefix, in tokens, that is copied from the engine that caches it. Copying takes
+/// a tenth of the time of computing it again, and costs less.
 const MIN_COPIED_TOKENS: u64 = 100;
 
-/// The part of what is copied that counts as cached. The rest stands for the cost of copying: an
-/// engine that keeps it is still the better choice.
+/// Share of a copied prefix that counts as cached. The rest stands for the cost of copying, so that
+/// an engine that already has the prefix remains the better choice.
 const COPIED_CACHE_SHARE: f64 = 0.6;
 
-/// How long an engine is taken to keep a part of a prompt that this box had read there.
+/// How long an engine is assumed to cache a prefix after this box had it computed there.
 const CACHE_LIFETIME: Duration = Duration::from_secs(30);
 
-/// How often some of a group are drawn until one of them takes the call: where a data centre's
-/// reclaimable servers are leaving, most of a group do not.
+/// How often servers are drawn from a group until one of them is eligible. Even where all
+/// reclaimable servers of a data centre are shutting down, most servers of a group are not.
 const MAX_DRAWS: u32 = 3;
 
-/// What a send goes by.
+/// The inputs for selecting a server.
 pub(super) struct Picker<'a> {
     pub(super) relay: &'a Relay,
     pub(super) call: &'a Call,
     pub(super) route: &'a Route,
     pub(super) service: &'a ServiceName,
-    /// What is known of its engines, where it is a model, and what was learned of them.
+    /// The service's engine parameters, if it is a model, and the performance model learned for
+    /// them.
     pub(super) engine: Option<EngineSpec>,
     pub(super) model: EngineModel,
-    /// Which release the send goes to.
+    /// The release that the send goes to.
     pub(super) release_choice: &'a ReleaseChoice,
-    /// The servers that had the call before.
+    /// Servers that already received the call.
     pub(super) tried_servers: &'a [BackendId],
-    /// What servers asked of this box.
+    /// Rate limits and pauses that servers requested of this box.
     pub(super) restraints: &'a Restraints,
 }
 
-/// The server for a send.
+/// The selected server.
 pub(super) struct Picked {
     pub(super) known: Arc<Known>,
     pub(super) reach: Reach,
-    /// What it has to read.
+    /// The prompt tokens that the server has to process.
     pub(super) prefill_work: PrefillWork,
-    /// The server from which it is to copy a part of the prompt.
+    /// The server from whose KV cache it copies part of the prompt.
     pub(super) prefix_source: Option<SocketAddr>,
 }
 
-/// In each region, the server at which all its boxes expect the call's shared part: a part that is asked
-/// for in three regions is read three times, and never crosses.
+/// For each region, the server that all its boxes expect to cache the call's shared prefix. A
+/// prefix that is requested in three regions is computed three times rather than copied between
+/// regions.
 type PrefixHomes = Vec<Option<PlacedServer>>;
 
-/// Servers, and what is known of each.
+/// Servers and what is known about each; all vectors have the same order.
 struct Comparison {
     servers: Vec<PlacedServer>,
     candidates: Vec<Candidate>,
-    /// From which server each would copy the call's shared part.
+    /// For each server, the one it would copy the shared prefix from.
     prefix_sources: Vec<Option<PlacedServer>>,
 }
 
 impl Picker<'_> {
-    /// The server expected to begin the call first.
+    /// Selects the server that is expected to start the call first.
     pub(super) fn pick(&self) -> Option<Picked> {
         let placed = self.relay.servers.placed(self.service);
         let homes = self.homes(&placed);
@@ -92,27 +95,29 @@
         self.choose(compared, mean_requests)
     }
 
-    /// A service of sample servers has one home for a part, whichever region asks: with some four servers in a
-    /// region each that comes or goes moves a quarter of all parts there, and its regions read them anew.
+    /// Computes the home of the shared prefix in each region. A service with few servers has a
+    /// single home in all regions: with about four servers in a region, each server that starts or
+    /// stops would move a quarter of all prefixes, and each region would compute them anew.
     fn homes(&self, placed: &Placed) -> PrefixHomes {
-        let part = self.call.shared_prefix();
+        let prefix = self.call.shared_prefix();
         match compares_all(placed.all.len()) {
-            true => vec![part.and_then(|it| self.home(&placed.all, it)); placed.regions.len()],
-            false => placed.regions.iter().map(|servers| self.home(servers, part?)).collect(),
+            true => vec![prefix.and_then(|it| self.home(&placed.all, it)); placed.regions.len()],
+            false => placed.regions.iter().map(|servers| self.home(servers, prefix?)).collect(),
         }
     }
 
-    fn home(&self, servers: &[PlacedServer], part: PromptSegment) -> Option<PlacedServer> {
-        let at = servers.partition_point(|it| it.known.hash < affinity(part.id, 0));
-        let near = neighbours(servers.len(), at).into_iter().map(|place| &servers[place]);
-        // A server that limits itself takes a sample of the calls that share a part.
-        let open =
-            near.filter(|it| self.is_eligible(&it.known) && !self.restraints.is_limited(&it.known));
-        open.max_by_key(|it| affinity(part.id, it.known.hash)).cloned()
+    fn home(&self, servers: &[PlacedServer], prefix: PromptSegment) -> Option<PlacedServer> {
+        let at = servers.partition_point(|it| it.known.hash < affinity(prefix.id, 0));
+        let nearby = neighbours(servers.len(), at).into_iter().map(|index| &servers[index]);
+        // A server with a rate limit serves only a few of the calls with the same prefix.
+        let open = nearby
+            .filter(|it| self.is_eligible(&it.known) && !self.restraints.is_limited(&it.known));
+        open.max_by_key(|it| affinity(prefix.id, it.known.hash)).cloned()
     }
 
-    /// A sample of many servers: some of each group, whose loads the leader told where it told any, until one
-    /// of them has room; and the homes of the call's shared part in the regions looked at.
+    /// Compares a sample of many servers. Servers are drawn from one group after another, nearest
+    /// first, until one of them has room; where the leader has reported loads, only from servers
+    /// with a known load. The prefix homes in the regions considered are always included.
     fn compare_sample(
         &self,
         placed: &Placed,
@@ -121,13 +126,13 @@
         homes: &PrefixHomes,
     ) -> Comparison {
         let mut sample: Vec<PlacedServer> = Vec::new();
-        for (place, group) in placed.groups.iter().enumerate() {
-            let loaded_group = loaded.groups.get(place).filter(|group| !group.is_empty());
+        for (index, group) in placed.groups.iter().enumerate() {
+            let loaded_group = loaded.groups.get(index).filter(|group| !group.is_empty());
             let is_remote = group.first().is_some_and(|it| it.reach == Reach::Remote);
-            let homes_there = homes.iter().flatten();
-            let homes_there = homes_there.filter(|it| (it.reach == Reach::Remote) == is_remote);
+            let group_homes = homes.iter().flatten();
+            let group_homes = group_homes.filter(|it| (it.reach == Reach::Remote) == is_remote);
             let sampled = self.draw(loaded_group.unwrap_or(group));
-            for it in sampled.iter().chain(homes_there) {
+            for it in sampled.iter().chain(group_homes) {
                 if sample.iter().all(|held| held.known.hash != it.known.hash) {
                     sample.push(it.clone());
                 }
@@ -140,11 +145,11 @@
         self.compare(if sample.is_empty() { self.available(placed) } else { sample }, homes)
     }
 
-    /// Some of a group that take the call, drawn at random.
+    /// Draws eligible servers of a group at random.
     fn draw(&self, group: &[PlacedServer]) -> Vec<PlacedServer> {
         for _ in 0..MAX_DRAWS {
             let drawn = drawn(group.len(), rand::random::<f64>);
-            let mut takers: Vec<_> = drawn.into_iter().map(|place| group[place].clone()).collect();
+            let mut takers: Vec<_> = drawn.into_iter().map(|index| group[index].clone()).collect();
             takers.retain(|it| self.is_eligible(&it.known));
             if !takers.is_empty() {
                 return takers;
@@ -157,7 +162,7 @@
         placed.all.iter().filter(|it| self.is_eligible(&it.known)).cloned().collect()
     }
 
-    /// Whether a server takes this call.
+    /// Whether a server accepts this call.
     fn is_eligible(&self, known: &Known) -> bool {
         known.is_open()
             && self.release_choice.takes(&known.server.release)
@@ -165,23 +170,23 @@
             && self.restraints.allows(known)
     }
 
-    /// The server of those compared that is expected to begin the call first.
+    /// Selects from the compared servers the one that is expected to start the call first.
     fn choose(&self, compared: Comparison, mean_requests: Option<f64>) -> Option<Picked> {
         let (candidates, random) = (&compared.candidates, rand::random::<f64>);
-        let place = match mean_requests.filter(|_| self.relay.context.topology.is_split()) {
+        let index = match mean_requests.filter(|_| self.relay.context.topology.is_split()) {
             Some(mean_requests) => {
                 choose_over_regions(&self.model, candidates, mean_requests, random)
             }
             None => choose(&self.model, candidates, random),
         }?;
-        let (chosen, candidate) = (&compared.servers[place], &compared.candidates[place]);
-        let shared = self.call.shared_prefix().map_or(0, |part| part.tokens);
+        let (chosen, candidate) = (&compared.servers[index], &compared.candidates[index]);
+        let shared = self.call.shared_prefix().map_or(0, |prefix| prefix.tokens);
         let prefill_work = PrefillWork {
             tokens: candidate.uncached,
             unshared_tokens: self.call.prompt_tokens().saturating_sub(shared),
             is_queue_empty: chosen.known.unread() == 0 && !candidate.ejected,
         };
-        let prefix_source = compared.prefix_sources[place].as_ref();
+        let prefix_source = compared.prefix_sources[index].as_ref();
         let fetch = prefix_source.filter(|_| !self.has_read_prefix(&chosen.known));
         Some(Picked {
             known: chosen.known.clone(),
@@ -191,7 +196,7 @@
         })
     }
 
-    /// What is known of servers.
+    /// Collects what is known about each server.
     fn compare(&self, servers: Vec<PlacedServer>, homes: &PrefixHomes) -> Comparison {
         let distances = self.distances(&servers);
         let placed = || servers.iter().zip(distances.iter().map(|distance| distance.time));
@@ -202,27 +207,27 @@
         let stays = servers.iter().filter_map(|it| it.known.state.service_time());
         let stays: Vec<_> = stays.collect();
         let stay = (!stays.is_empty()).then(|| stays.iter().sum::<f64>() / stays.len() as f64);
-        let words: Vec<_> = servers.iter().map(|it| it.known.load_estimate()).collect();
+        let estimates: Vec<_> = servers.iter().map(|it| it.known.load_estimate()).collect();
         let regions: Vec<_> = servers.iter().map(|it| it.region).collect();
-        let others = others_by_region(&words, &regions, stay);
+        let others = others_by_region(&estimates, &regions, stay);
         let now = Instant::now();
         let room = self.have_room(&servers, &others);
         let any_room = room.contains(&true);
-        let candidate = |place: usize| {
-            let it = &servers[place];
+        let candidate = |index: usize| {
+            let it = &servers[index];
             let known = &it.known;
             let cached = self.cached_tokens(
                 has_read_prefix(it) || is_home(it, homes),
-                prefix_sources[place].is_some(),
+                prefix_sources[index].is_some(),
             );
             Candidate {
-                requests: others[place] + f64::from(known.state.in_flight()),
+                requests: others[index] + f64::from(known.state.in_flight()),
                 slots: known.server.slots,
                 stay: stay.unwrap_or_default(),
                 unread: known.unread(),
                 uncached: self.call.prompt_tokens().saturating_sub(cached),
-                distance: distances[place],
-                full: any_room && !room[place],
+                distance: distances[index],
+                full: any_room && !room[index],
                 ejected: known.state.is_ejected() || known.state.is_avoided(&self.route.name, now),
             }
         };
@@ -230,7 +235,8 @@
         Comparison { servers, candidates, prefix_sources }
     }
 
-    /// Which servers have memory left for the call, where their memory is known.
+    /// Which servers have KV cache memory left for the call. All of them, if the engines' memory
+    /// size is unknown.
     fn have_room(&self, open: &[PlacedServer], others: &[f64]) -> Vec<bool> {
         let Some(spec) = &self.engine else {
             return vec![true; open.len()];
@@ -256,62 +262,69 @@
         open.iter().map(distance).collect()
     }
 
-    /// Prompt tokens of the call that a server need not read, which keeps the shared part or copies it.
+    /// Prompt tokens that a server need not compute because it caches the shared prefix or copies
+    /// it.
     fn cached_tokens(&self, keeps: bool, copies: bool) -> u64 {
-        let Some(part) = self.call.shared_prefix() else {
+        let Some(prefix) = self.call.shared_prefix() else {
             return 0;
         };
         match (keeps, copies) {
-            (true, _) => part.tokens,
-            (false, true) => (part.tokens as f64 * COPIED_CACHE_SHARE) as u64,
+            (true, _) => prefix.tokens,
+            (false, true) => (prefix.tokens as f64 * COPIED_CACHE_SHARE) as u64,
             (false, false) => 0,
         }
     }
 
-    /// Whether this box has lately had the call's shared part read there.
+    /// Whether this box recently had the call's shared prefix computed at the server.
     fn has_read_prefix(&self, known: &Known) -> bool {
-        let part = self.call.shared_prefix();
-        part.is_some_and(|part| known.state.cached_blocks(&[part.id], CACHE_LIFETIME) > 0)
+        let prefix = self.call.shared_prefix();
+        prefix.is_some_and(|prefix| known.state.cached_blocks(&[prefix.id], CACHE_LIFETIME) > 0)
     }
 
-    /// The server from which another one would copy the call's shared part: one of its region, or where
-    /// none keeps it, one of another region if that saves more than it costs. Where this box has had it
-    /// read, at the servers `seen`, is known; where all boxes expect it is a guess. Each stands with the
-    /// milliseconds from this box there and back: between two regions it is that of the farther one.
+    /// The server from which `server` would copy the call's shared prefix: a server of its own region,
+    /// or one of another region if copying saves more than it costs. The servers in `seen` are
+    /// known to have computed the prefix for this box; that a home has it is only assumed. Times
+    /// are round trips from this box in milliseconds; for a copy between two regions the longer one
+    /// counts.
     fn prefix_source<'a>(
         &self,
-        it: &PlacedServer,
+        server: &PlacedServer,
         time: f64,
         seen: &[(&'a PlacedServer, f64)],
         homes: &'a PrefixHomes,
     ) -> Option<&'a PlacedServer> {
-        let part = self.call.shared_prefix().filter(|part| part.tokens >= MIN_COPIED_TOKENS)?;
-        let home =
-            homes.get(it.region).and_then(Option::as_ref).filter(|home| !is_same_server(home, it));
-        let mut others = seen.iter().filter(|(other, _)| !is_same_server(other, it));
-        let near = others.clone().find(|(other, _)| other.region == it.region);
+        let prefix =
+            self.call.shared_prefix().filter(|prefix| prefix.tokens >= MIN_COPIED_TOKENS)?;
+        let home = homes
+            .get(server.region)
+            .and_then(Option::as_ref)
+            .filter(|home| !is_same_server(home, server));
+        let mut others = seen.iter().filter(|(other, _)| !is_same_server(other, server));
+        let near = others.clone().find(|(other, _)| other.region == server.region);
         let near = near.map(|(other, _)| *other).or(home);
         near.or_else(|| {
-            let far = others.find(|(_, far)| self.is_copy_worthwhile(part, time.max(*far)));
+            let far = others.find(|(_, far)| self.is_copy_worthwhile(prefix, time.max(*far)));
             let far = far.map(|(other, _)| *other);
             far.or_else(|| {
-                primary_home(it, part, homes).filter(|_| self.is_copy_worthwhile(part, time))
+                primary_home(server, prefix, homes)
+                    .filter(|_| self.is_copy_worthwhile(prefix, time))
             })
         })
     }
 
-    /// Whether copying a shared part over a distance between regions saves more than it costs.
-    fn is_copy_worthwhile(&self, part: PromptSegment, time: f64) -> bool {
+    /// Whether copying a prefix between regions saves more than it costs. `time` is the round trip
+    /// in milliseconds.
+    fn is_copy_worthwhile(&self, prefix: PromptSegment, time: f64) -> bool {
         let Some(spec) = &self.engine else {
             return false;
         };
         let copying = Copying { rate: spec.copy_rate, token_bytes: spec.token_bytes };
         let weights = &self.relay.context.settings.weights;
-        fetch_saves(&self.model, part.tokens, &copying, time, weights)
+        fetch_saves(&self.model, prefix.tokens, &copying, time, weights)
     }
 }
 
-/// Requests that servers have, near and far; `None` where none is known.
+/// Mean number of requests per available server in all regions; `None` if there is no such server.
 fn mean_requests(placed: &Placed) -> Option<f64> {
     let open = || placed.all.iter().filter(|it| it.known.is_open());
     let requests = open().map(|it| f64::from(it.known.requests()));
@@ -319,19 +332,23 @@
     (count > 0).then(|| requests.sum::<f64>() / count as f64)
 }
 
-/// Of the homes of all regions, the one that has a part first: the others copy it from there, so that it is read
-/// once and not once a region, where that takes less time than reading it.
+/// The one home among all regions that computes a prefix first. The other regions copy the prefix
+/// from there if that takes less time than computing it, so that it is computed once rather than
+/// once per region.
 fn primary_home<'a>(
-    it: &PlacedServer,
-    part: PromptSegment,
+    server: &PlacedServer,
+    prefix: PromptSegment,
     homes: &'a PrefixHomes,
 ) -> Option<&'a PlacedServer> {
-    let first = homes.iter().flatten().max_by_key(|home| affinity(part.id, home.known.hash));
-    first.filter(|home| !is_same_server(home, it))
+    let first = homes.iter().flatten().max_by_key(|home| affinity(prefix.id, home.known.hash));
+    first.filter(|home| !is_same_server(home, server))
 }
 
-fn is_home(it: &PlacedServer, homes: &PrefixHomes) -> bool {
-    homes.get(it.region).and_then(Option::as_ref).is_some_and(|home| is_same_server(home, it))
+fn is_home(server: &PlacedServer, homes: &PrefixHomes) -> bool {
+    homes
+        .get(server.region)
+        .and_then(Option::as_ref)
+        .is_some_and(|home| is_same_server(home, server))
 }
 
 fn is_same_server(a: &PlacedServer, b: &PlacedServer) -> bool {
