--- a/src/relay/dialect.rs
+++ b/src/relay/dialect.rs
@@ -1,7 +1,7 @@
-//! The edge to how callers, backend servers and operators write things down.
+//! Boundary to the wire formats of callers, backend servers and operators.
 //!
-//! An implementation turns heads into types and types into heads, and decides nothing. Headers that
-//! concern one connection only are the relay's business: they never reach it.
+//! An implementation converts between headers or documents and types, and makes no decisions. The
+//! relay handles hop-by-hop headers itself; implementations do not see them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,22 +14,22 @@
 use crate::error::Failure;
 use crate::ids::BackendId;
 
-/// How callers, backend servers and operators write things down.
+/// Parses and writes the formats of callers, backend servers and operators.
 pub trait Dialect: Send + Sync + 'static {
-    /// Reads a request's head.
+    /// Parses a request's head.
     ///
     /// # Errors
-    /// [`crate::error::Kind::BadRequest`] when a header cannot be read.
+    /// [`crate::error::Kind::BadRequest`] if a header cannot be parsed.
     fn read_call(&self, head: &Parts) -> Result<CallHead, Failure>;
 
-    /// The headers with which a call goes to a backend server.
+    /// Writes the headers with which a call is sent to a backend server.
     fn write_call(&self, call: &Call, context: &SendContext<'_>) -> HeaderMap;
 
-    /// Reads the head of a backend server's answer to a call.
+    /// Parses the head of a backend server's reply to a call.
     fn read_reply(&self, call: &Call, status: StatusCode, headers: &HeaderMap) -> ReplyHead;
 
-    /// The path, headers and body with which this backend server, and no other, is asked to stop a call's run
-    /// and to copy its memory to another one.
+    /// Writes the path, headers and body that ask `server`, and no other server at its address, to
+    /// stop a call's run and to copy its KV cache to `target`.
     fn write_move(
         &self,
         call: &Call,
@@ -37,22 +37,23 @@
         target: SocketAddr,
     ) -> (&'static str, HeaderMap, String);
 
-    /// What the server says to that.
+    /// Parses the reply to the request written by [`Self::write_move`].
     fn read_move_reply(&self, body: &[u8]) -> MoveReply;
 
-    /// The path and headers with which a backend server, and no other at its address, is asked for a
-    /// report on itself.
+    /// Writes the path and headers that ask `server`, and no other server at its address, for a
+    /// status report.
     fn write_report(&self, server: &BackendId) -> (&'static str, HeaderMap);
 
-    /// Reads that report; `None` where it is none.
+    /// Parses a status report; `None` if it is not one.
     fn read_report(&self, body: &[u8]) -> Option<ServerReport>;
 
-    /// Marks an answer of the relay's own: whose it is, and when to come back.
+    /// Adds the headers of an answer that the relay itself generates: the id of the request and the
+    /// Retry-After.
     fn mark_relay_answer(&self, headers: &mut HeaderMap, id: Option<&str>, wait: Option<Duration>);
 
-    /// Reads a published document.
+    /// Parses a published configuration document.
     ///
     /// # Errors
-    /// Why it is not valid.
+    /// Why the document is invalid.
     fn read_table(&self, text: &str) -> Result<RouteTable, String>;
 }
--- a/src/relay/moving.rs
+++ b/src/relay/moving.rs
@@ -1,9 +1,9 @@
-//! Moves running streams off a backend server that is leaving, with their memory, so that nothing is
-//! read again and a stream that may run only once is not lost.
+//! Moves running streams, including their KV cache, off a backend server that is shutting down. No
+//! token is computed twice, and a stream that must not be repeated is not lost.
 //!
-//! The server is asked to stop the run and to copy its memory to another one; its stream is read to
-//! where it stopped, and the other server goes on behind the last event. That is the same run: it
-//! needs neither a further attempt nor a repetition.
+//! The server is asked to stop the run and to copy its KV cache to another server. Its stream is
+//! read up to the point where it stopped, and the other server continues after the last event. This
+//! is still the same run, so it uses up no retry and does not count as a repetition.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -28,48 +28,49 @@
 use crate::ids::ServiceName;
 use crate::units::Tokens;
 
-/// How long a server may take to stop a run and copy its memory, and then to end its stream.
+/// How long a server may take to stop a run and copy its KV cache, and then to end its stream.
 const MOVE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Bytes of its answer at most.
+/// Largest reply to the export request, in bytes.
 const MAX_REPLY_BYTES: usize = 64 << 10;
 
-/// Copies that one copy waits for on the links, and the two ends of a link between data centres.
+/// Number of copies that are assumed to share the links, including both ends of a link between data
+/// centres.
 const CONCURRENT_COPIES: f64 = 8.0;
 
-/// The part of the most that may come out which is taken to come out.
+/// Fraction of the maximum output that a generation is expected to produce.
 const EXPECTED_OUTPUT_SHARE: f64 = 0.7;
 
-/// What came of a move.
+/// Outcome of a move. Each variant holds the events that arrived in the meantime.
 pub(super) enum MoveOutcome {
-    /// Another server goes on; events that came meanwhile.
+    /// Another server continues the stream.
     Moved(Bytes, Box<EventSource>),
-    /// The stream ended by itself meanwhile; its last events.
+    /// The stream ended on its own.
     Ended(Bytes),
-    /// Nothing was moved, and the stream goes on where it is; events that came meanwhile.
+    /// Nothing was moved, and the stream continues on its server.
     NotMoved(Bytes),
-    /// The run was stopped and nobody could go on with it; events that came before.
+    /// The run was stopped, but no server could continue it.
     Lost(Bytes),
 }
 
-/// Waits until the server that is followed is leaving; for ever where none is.
+/// Waits until the watched server is shutting down; forever if no server is watched.
 pub(super) async fn wait_until_leaving(
-    following: &mut Option<watch::Receiver<Option<Leaving>>>,
+    leave_signal: &mut Option<watch::Receiver<Option<Leaving>>>,
 ) -> Leaving {
-    let Some(following) = following else {
+    let Some(leave_signal) = leave_signal else {
         return std::future::pending().await;
     };
     loop {
-        if let Some(leaving) = *following.borrow_and_update() {
+        if let Some(leaving) = *leave_signal.borrow_and_update() {
             return leaving;
         }
-        if following.changed().await.is_err() {
+        if leave_signal.changed().await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 }
 
-/// Whether a stream is better moved than finished where it is.
+/// Whether a stream should be moved rather than finished on its server.
 pub(super) fn is_worth_moving(
     relay: &Relay,
     call: &Call,
@@ -91,7 +92,7 @@
         remaining: Tokens(expected_output).less(Tokens(delivered)),
         between: source.sent_at.elapsed() / u32::try_from(delivered.max(1)).unwrap_or(u32::MAX),
         export: export_time(&spec, size.prompt_tokens + delivered),
-        // The move keeps it one run.
+        // A moved run is not repeated, so this holds for every route.
         repeatable: true,
     };
     reclaim::choose(&facts) == Way::Export
@@ -130,7 +131,7 @@
         while answer.is_none() || end.is_none() {
             tokio::select! {
                 answered = &mut exporting, if answer.is_none() => answer = Some(answered),
-                came = next_events(source, progress, MOVE_TIMEOUT), if end.is_none() => match came {
+                received = next_events(source, progress, MOVE_TIMEOUT), if end.is_none() => match received {
                     Ok(Some(events)) => ready.extend_from_slice(&events),
                     Ok(None) => return MoveOutcome::Ended(ready.freeze()),
                     Err(fault) => end = Some(fault),
@@ -153,7 +154,7 @@
         end = end.as_ref().map(SendFault::to_string),
     );
     let export = KvCacheExport { source: known.server.addr, handle };
-    // Without room at the target, the source keeps the memory and may go on itself.
+    // Without room at the target, the source keeps the KV cache and may continue the run itself.
     let candidates = match status.is_success() {
         true => [&target, &known],
         false => [&known, &known],
@@ -195,7 +196,8 @@
     MoveOutcome::Lost(ready.freeze())
 }
 
-/// Asks a server to stop the run and copy it; the status and the copy's handle, if it names one.
+/// Asks a server to stop the run and export its KV cache. Returns the status and the export's
+/// handle; `None` if no export was made.
 async fn request_export(
     relay: &Relay,
     call: &Call,
@@ -221,7 +223,8 @@
     match answered.await {
         Ok((status, body)) => {
             let MoveReply { incarnation, handle } = relay.context.dialect.read_move_reply(&body);
-            // Another server may have its address by now: one that is not meant says so.
+            // A misdirected request was answered by a different server, whose incarnation does not
+            // concern this one.
             if status != StatusCode::MISDIRECTED_REQUEST {
                 relay.servers.apply_incarnation(source, incarnation);
             }
--- a/src/relay/plain.rs
+++ b/src/relay/plain.rs
@@ -1,4 +1,4 @@
-//! Passes whole answers: requests whose answer is not a stream.
+//! Forwards complete answers, for requests whose answer is not a stream.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
@@ -27,23 +27,24 @@
 use crate::http::charged::guarded;
 use crate::ids::ServiceName;
 
-/// Bytes of an answer at most.
+/// Largest answer that is forwarded, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// The longest that a piece of an answer is waited for; its call's time ends it earlier.
+/// Longest wait for the next chunk of an answer. The call's deadline ends it earlier.
 const READ_TIMEOUT: Duration = Duration::from_secs(3_600);
 
-/// Time between two looks for room in a full box: others take their answers meanwhile.
+/// Pause between attempts to reserve memory on a full box. Other callers receive their answers in
+/// the meantime, which frees memory.
 const MEMORY_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// The part of the objective after which a repeatable request that has no answer goes to a second
-/// server: while that one can still be in time.
+/// Fraction of the latency objective after which a repeatable request without an answer is also
+/// sent to a second server, which can still answer in time.
 const HEDGE_DELAY_FACTOR: f64 = 0.6;
 
-/// The least time a server gets for an answer before a second one is tried.
+/// Shortest time that a server gets before a second one is tried.
 const MIN_HEDGE_DELAY: Duration = Duration::from_millis(50);
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers: they apply to a single connection and are not forwarded.
 const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -56,8 +57,8 @@
     "upgrade",
 ];
 
-/// Removes the headers that concern one connection only, also those that `Connection` names, and the
-/// length, which is that of the bytes on that connection.
+/// Removes hop-by-hop headers, including those named in `Connection`, and `Content-Length`, which
+/// is set anew for each connection.
 pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(CONNECTION)
@@ -75,7 +76,7 @@
     headers.remove(CONTENT_LENGTH);
 }
 
-/// A backend server's answer, whole.
+/// A complete answer of a backend server.
 pub struct Answer {
     status: StatusCode,
     headers: HeaderMap,
@@ -83,7 +84,7 @@
 }
 
 impl Answer {
-    /// As it goes to the caller; `body` makes its body of the bytes.
+    /// Converts it to the response for the caller; `body` wraps the bytes in a response body.
     pub(super) fn response(self, body: impl FnOnce(Bytes) -> Body) -> Response<Body> {
         let mut response = Response::new(body(self.body));
         *response.status_mut() = self.status;
@@ -92,14 +93,13 @@
     }
 }
 
-/// Gets the whole answer to a call.
+/// Obtains the complete answer to a call.
 ///
-/// A repeatable request that has no answer after some time goes to a second server as well, and the
-/// first answer counts. The first send is never given up for a second one: a silent server may still
-/// answer.
+/// If a repeatable request has no answer after some time, it is also sent to a second server, and
+/// the first answer wins. The first send is not cancelled: a slow server may still answer.
 ///
 /// # Errors
-/// What is said of the call when no server gave one.
+/// The failure to report to the caller if no server answered.
 pub async fn answer(
     relay: &Relay,
     call: &Call,
@@ -116,7 +116,7 @@
         if running.is_empty() {
             match attempts.next_server(relay, call, route) {
                 Ok(known) => running.push(send_once(relay, call, route, known)),
-                // A server's own word that the request failed is worth more than ours.
+                // A server's own failure answer tells the caller more than the relay's.
                 Err(failure) => return failed.ok_or(failure),
             }
         }
@@ -145,7 +145,7 @@
 
 type SendResult = Result<(Answer, bool), SendFailure>;
 
-/// Sends a call once; the answer, and whether the server says that it failed.
+/// Sends a call once. Returns the answer and whether the server reports a failure.
 async fn send_once(
     relay: &Relay,
     call: &Call,
@@ -173,7 +173,7 @@
         read_whole(relay, reply, MAX_ANSWER_BYTES).await
     });
     let (answer, failed) = tokio::select! {
-        // An answer that is there counts, whatever became of its server since.
+        // An answer that has arrived counts even if its server has restarted since.
         biased;
         result = result => match result {
             Ok(result) => result?,
@@ -202,8 +202,8 @@
     Ok((answer, failed))
 }
 
-/// Reads an answer of at most `limit` bytes to its end, as there is room for it; whether the server says
-/// that the request failed.
+/// Reads an answer of at most `limit` bytes to its end, reserving memory for it. Also returns
+/// whether the server reports that the request failed.
 pub(super) async fn read_whole(
     relay: &Relay,
     reply: CheckedReply,
@@ -212,7 +212,8 @@
     let CheckedReply { mut exchange, failed } = reply;
     let mut held = BytesMut::new();
     let mut charge = None;
-    // Its whole length at once: answers that each had a part of their room would wait for each other.
+    // The whole length is reserved at once: several answers that each held part of their memory
+    // would wait for each other.
     if let Some(length) = content_length(&exchange.headers).filter(|it| *it > UNCHARGED_BYTES) {
         if length > limit as u64 {
             return Err(SendFailure::from_fault(SendFault::TooLarge(limit)));
@@ -239,13 +240,13 @@
     Ok((Answer { status, headers, body }, failed))
 }
 
-/// The length that an answer's head tells.
+/// The length stated in an answer's head.
 fn content_length(headers: &HeaderMap) -> Option<u64> {
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
-/// Charges more of an answer, once there is room: it has run, so it is not refused.
-/// One that is larger than all the room there is will never be kept.
+/// Reserves memory for `bytes` more of an answer, waiting until there is room: the request has
+/// already run, so it is not refused. An answer larger than the box's whole memory budget fails.
 async fn reserve_memory(
     relay: &Relay,
     charge: &mut Option<Reserved>,
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -1,5 +1,5 @@
-//! Passes streams of events as they come, and takes a broken one up at another server where its
-//! route allows that.
+//! Forwards event streams as they arrive, and resumes a broken stream on another server if its
+//! route allows it.
 
 use std::io;
 use std::pin::pin;
@@ -31,21 +31,21 @@
 use crate::ids::ServiceName;
 use crate::telemetry::volume;
 
-/// Bytes of a failed answer at most.
+/// Largest failure answer to a stream request that is forwarded, in bytes.
 const MAX_FAILURE_BYTES: usize = 1 << 20;
 
-/// How long a stream that may be taken up elsewhere is silent before it is, in its longest pauses
-/// that are on time.
+/// A resumable stream is resumed elsewhere after a silence of this many times the longest gap that
+/// the route allows between events.
 const SILENCE_GAP_FACTOR: u32 = 2;
 
-/// The least silence after which a stream is taken up elsewhere.
+/// Shortest silence after which a stream is resumed elsewhere.
 const MIN_SILENCE: Duration = Duration::from_millis(800);
 
-/// The part of the objective after which a stream that may be taken up elsewhere and has not begun
-/// goes to another server.
+/// A resumable stream that has not started after this multiple of the latency objective is sent to
+/// another server.
 const START_TIMEOUT_FACTOR: f64 = 1.5;
 
-/// A stream that has begun at a server.
+/// A stream that has delivered its first event.
 pub(super) struct StartedStream {
     status: StatusCode,
     headers: HeaderMap,
@@ -54,34 +54,34 @@
 }
 
 impl StartedStream {
-    /// Where it comes from, and its first event.
+    /// Returns the event source and the first event.
     pub(super) fn into_parts(self) -> (EventSource, Bytes) {
         (self.source, self.first_event)
     }
 }
 
-/// Where the events of a stream come from at the moment.
+/// The server connection that a stream's events currently come from.
 pub(super) struct EventSource {
     exchange: Exchange,
     cutter: EventCutter,
-    /// The request in flight to its server.
+    /// The request in flight to the server.
     pub(super) flight: Flight,
-    /// When it was sent there.
+    /// When the request was sent to the server.
     pub(super) sent_at: Instant,
 }
 
-/// What an attempt to begin a stream came to.
+/// Outcome of an attempt to start a stream.
 pub(super) enum StartOutcome {
-    /// It has begun.
+    /// The stream has started.
     Stream(Box<StartedStream>),
-    /// A whole answer that is no stream, and whether the server says that the request failed.
+    /// A complete answer instead of a stream, and whether the server reports a failure.
     Whole(Response<Body>, bool),
 }
 
-/// Gets a stream of events.
+/// Obtains an event stream.
 ///
 /// # Errors
-/// What is said of the call when no server began one.
+/// The failure to report to the caller if no server started a stream.
 pub async fn answer(
     relay: Arc<Relay>,
     call: Arc<Call>,
@@ -94,7 +94,8 @@
     let mut chosen = attempts.next_server(&relay, &call, &route)?;
     loop {
         let known = chosen.clone();
-        // The connection to a server that is given up is closed before another one gets the call.
+        // The connection to a server that is given up is closed before the call is sent to another
+        // one.
         let opened = {
             let mut opening = pin!(start_stream(
                 &relay,
@@ -165,7 +166,7 @@
     }
 }
 
-/// Notes how long the engine took to its first event.
+/// Records the engine's time to first event for its performance model.
 fn record_time_to_first_event(relay: &Relay, attempts: &CallAttempts, opened: &StartedStream) {
     let prefill_work = attempts.prefill_work();
     let seen = Observation {
@@ -177,24 +178,25 @@
     relay.engines().note(attempts.service(), seen);
 }
 
-/// Seconds that a stream is expected to take: the reading of its prompt, and [`ASSUMED_EVENT_TIME`] an event. Only
-/// the comparison of two releases goes by it, and both have the same error.
+/// Expected duration of a stream in seconds: prefill of its prompt, plus [`ASSUMED_EVENT_TIME`] for
+/// each event. Only used to compare two releases, for which the error is the same.
 fn expected_time(relay: &Relay, attempts: &CallAttempts, progress: &StreamProgress) -> f64 {
     let model = relay.engines().model(attempts.service());
     let read = model.base + model.read_time(attempts.prefill_work().tokens as f64);
     read + ASSUMED_EVENT_TIME * progress.events as f64
 }
 
-/// Seconds that a stream may take by its route: until its first event, and between two of them.
+/// Longest duration of a stream in seconds that its route allows: time to the first event, plus the
+/// gaps between events.
 fn allowed_time(route: &Route, progress: &StreamProgress) -> f64 {
     let gap = route.gap.unwrap_or(route.objective).as_secs_f64();
     route.objective.as_secs_f64() + gap * progress.events.saturating_sub(1) as f64
 }
 
-/// Seconds that an event of a stream is taken to need.
+/// Assumed time per event, in seconds.
 const ASSUMED_EVENT_TIME: f64 = 0.05;
 
-/// Begins a stream at a server: it has begun when its first event is whole.
+/// Starts a stream on a server. It has started once its first event is complete.
 pub(super) async fn start_stream(
     relay: &Relay,
     call: &Call,
@@ -204,7 +206,7 @@
 ) -> Result<StartOutcome, SendFailure> {
     let limit = call.time_left();
     let flight = known.begin(call.prompt_tokens(), call.max_tokens());
-    let mut over = known.state.follow_end();
+    let mut end_signal = known.state.follow_end();
     let began = Instant::now();
     let opening = async {
         let reply = send(relay, call, route, known, start, limit).await?;
@@ -223,13 +225,13 @@
         Ok(StartOutcome::Stream(Box::new(StartedStream { status, headers, source, first_event })))
     };
     let opened = tokio::select! {
-        // What is there counts, whatever became of its server since.
+        // A result that has arrived counts even if its server has restarted since.
         biased;
         opened = tokio::time::timeout(limit, opening) => match opened {
             Ok(result) => result,
             Err(_) => Err(SendFailure::from_fault(SendFault::TimedOut)),
         },
-        Ok(_) = over.wait_for(|over| *over) => Err(SendFailure::from_fault(restart_fault())),
+        Ok(_) = end_signal.wait_for(|ended| *ended) => Err(SendFailure::from_fault(restart_fault())),
     };
     match &opened {
         Ok(StartOutcome::Stream(_)) => {
@@ -249,7 +251,7 @@
     opened
 }
 
-/// Parts of prompts remembered for each engine.
+/// Number of prompt prefixes remembered for each engine.
 const MAX_PREFIXES_PER_SERVER: usize = 1_024;
 
 async fn read_first_event(source: &mut EventSource, limit: Duration) -> Result<Bytes, SendFailure> {
@@ -274,18 +276,18 @@
     }
 }
 
-/// What a stream's caller has so far.
+/// What a stream's caller has received so far.
 pub(super) struct StreamProgress {
-    /// The last event.
+    /// Id of the last event.
     pub(super) last_event_id: Option<u64>,
-    /// Events passed on.
+    /// Number of events read from the servers.
     events: u64,
-    /// When the first events came.
+    /// When the first event arrived.
     first_event_at: Instant,
-    /// When the last events came, and the longest time between two of them.
+    /// When the last event arrived, and the longest time between two events.
     last_event_at: Instant,
     longest_gap: Duration,
-    /// Whether the first event came late.
+    /// Whether the first event missed the route's latency objective.
     first_event_late: bool,
 }
 
@@ -302,12 +304,13 @@
         }
     }
 
-    /// Whether the first event came late, or a pause was longer than the route allows.
+    /// Whether the first event was late, or a gap between events was longer than the route allows.
     fn is_late(&self, route: &Route) -> bool {
         self.first_event_late || route.gap.is_some_and(|gap| self.longest_gap > gap)
     }
 
-    /// Has the learner of the service's engines take the stream's pace, where it came from one of them whole.
+    /// Records the stream's pace for the engines' performance model, unless it was resumed by its
+    /// caller and started in the middle.
     fn record_pace(&self, relay: &Relay, service: &ServiceName, call: &Call) {
         if let (None, Some(size)) = (call.head.last_event_id, call.head.generation) {
             let seconds =
@@ -316,7 +319,7 @@
         }
     }
 
-    /// Takes the whole events that a source holds, without those the caller has already.
+    /// Takes the complete events that have been received, skipping those the caller already has.
     pub(super) fn take_events(&mut self, source: &mut EventSource) -> Result<Bytes, SendFault> {
         let mut ready = BytesMut::new();
         loop {
@@ -332,7 +335,7 @@
         }
     }
 
-    /// Whether an event is new to the caller.
+    /// Records an event. Returns whether it is new to the caller.
     pub(super) fn record_event(&mut self, event: &[u8]) -> bool {
         self.events += 1;
         self.longest_gap = self.longest_gap.max(self.last_event_at.elapsed());
@@ -360,20 +363,20 @@
     let mut progress = StreamProgress::new(call.head.last_event_id);
     progress.record_event(&first_event);
     progress.first_event_late = call.arrived.elapsed() > route.objective;
-    let passing = (relay.clone(), call.clone(), route.clone());
+    let kept_for_body = (relay.clone(), call.clone(), route.clone());
     let events = stream! {
         yield Ok::<_, io::Error>(first_event);
         let mut limit = silence_limit(&route, &call);
-        let mut following = Some(source.flight.known().state.follow_leaving());
+        let mut leave_signal = Some(source.flight.known().state.follow_leaving());
         loop {
             let step = tokio::select! {
-                leaving = moving::wait_until_leaving(&mut following) => Err(leaving),
-                came = next_events(&mut source, &mut progress, limit.min(call.time_left())) => Ok(came),
+                leaving = moving::wait_until_leaving(&mut leave_signal) => Err(leaving),
+                received = next_events(&mut source, &mut progress, limit.min(call.time_left())) => Ok(received),
             };
-            let came = match step {
-                Ok(came) => came,
+            let received = match step {
+                Ok(received) => received,
                 Err(leaving) => {
-                    following = None;
+                    leave_signal = None;
                     let service = attempts.service();
                     if !moving::is_worth_moving(&relay, &call, service, &source, progress.events, &leaving) {
                         continue;
@@ -381,7 +384,7 @@
                     match move_stream(&relay, &call, &route, &attempts, &mut source, &mut progress).await {
                         MoveOutcome::Moved(ready, moved) => {
                             source = *moved;
-                            following = Some(source.flight.known().state.follow_leaving());
+                            leave_signal = Some(source.flight.known().state.follow_leaving());
                             yield Ok(ready);
                             continue;
                         }
@@ -400,7 +403,7 @@
                     }
                 }
             };
-            let fault = match came {
+            let fault = match received {
                 Ok(Some(ready)) => {
                     if !ready.is_empty() {
                         yield Ok(ready);
@@ -432,7 +435,7 @@
             };
             let Some(other) = other else {
                 if fault == SendFault::TimedOut && !call.time_left().is_zero() {
-                    // Nobody else can take it up; the server may still go on.
+                    // No other server can resume the stream, but this one may still continue it.
                     limit = call.time_left();
                     continue;
                 }
@@ -443,7 +446,7 @@
                 yield Err(io::Error::other(fault.to_string()));
                 break;
             };
-            // Before another server goes on, the connection to this one is closed.
+            // The connection to this server is closed before another server continues the stream.
             drop(source);
             match resume_elsewhere(&relay, &call, &route, &mut attempts, &mut progress, other).await {
                 Some((ready, next)) => {
@@ -453,20 +456,20 @@
                     }
                 }
                 None => {
-                    yield Err(io::Error::other("no server could take the stream up"));
+                    yield Err(io::Error::other("no server could resume the stream"));
                     break;
                 }
             }
         }
     };
-    let (relay, call, route) = passing;
+    let (relay, call, route) = kept_for_body;
     let mut response = Response::new(taking::stream_body(relay, call, route, kept, events));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
 }
 
-/// The next whole events; `None` at the end of the stream. May be dropped and called again.
+/// Reads the next complete events; `None` at the end of the stream. Cancel safe.
 pub(super) async fn next_events(
     source: &mut EventSource,
     progress: &mut StreamProgress,
@@ -476,12 +479,12 @@
     if !ready.is_empty() {
         return Ok(Some(ready));
     }
-    let came = tokio::select! {
+    let received = tokio::select! {
         biased;
-        came = source.exchange.next(silence) => came?,
+        received = source.exchange.next(silence) => received?,
         () = source.flight.ended() => return Err(restart_fault()),
     };
-    match came {
+    match received {
         Some(piece) => {
             source.cutter.push(&piece);
             progress.take_events(source).map(Some)
@@ -493,8 +496,8 @@
     }
 }
 
-/// One line for a stream that ended well: always when a pause made it late, else as far as the volume
-/// of the log allows.
+/// Logs a stream that ended normally: always if it was late, otherwise within the log's volume
+/// limit.
 fn record_end(call: &Call, route: &Route, known: &Known, progress: &StreamProgress) {
     let late = progress.is_late(route);
     if late || volume::allows_ordinary() {
@@ -527,8 +530,8 @@
     );
 }
 
-/// Takes a stream up at other servers, beginning with `known`, behind the last event that its caller
-/// has.
+/// Resumes a stream after the last event its caller has received, trying `known` first and then
+/// other servers.
 async fn resume_elsewhere(
     relay: &Relay,
     call: &Call,
--- a/src/relay/taking.rs
+++ b/src/relay/taking.rs
@@ -1,9 +1,10 @@
-//! An answer on its way to its caller: read from the engine as it comes, kept up to a bound, and given
-//! up where the caller takes too little.
+//! Delivers an answer to its caller: reads ahead of the caller up to a limit, and gives up on a
+//! caller that is too slow.
 //!
-//! An engine whose answer is not read holds a place and its memory, and cuts the answer off after some
-//! seconds. So a task goes on reading while the connection waits for its caller. What is kept counts as
-//! taken once the connection has written it.
+//! An engine whose answer is not read keeps its slot and KV cache memory, and cuts the answer off
+//! after a few seconds. A task therefore keeps reading from the engine while the connection waits
+//! for its caller. Bytes are counted as kept until the connection has written them, and as taken
+//! from then on.
 
 use std::io;
 use std::pin::{Pin, pin};
@@ -29,29 +30,32 @@
 use crate::http::{Body, whole};
 use crate::sync::lock;
 
-/// Bytes of an answer that need no room of their own: an accepted request gets on also in a full box.
+/// Bytes of an answer that are kept without reserving memory, so that accepted requests make
+/// progress even when the box is full.
 pub(super) const UNCHARGED_BYTES: u64 = 8 << 10;
 
-/// Bytes of one answer that are kept at most: all of nearly every stream, so that its engine is free.
+/// Largest part of an answer that is kept, in bytes. Nearly every stream fits, so its engine is not
+/// held up.
 const MAX_KEPT_BYTES: u64 = 256 << 10;
 
-/// Time between two looks at a caller for whom something is kept: a part of the least patience.
+/// Time between two checks of a caller for whom bytes are kept: a fraction of the shortest time
+/// that a caller may be silent.
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a caller has taken so far.
+/// How much of an answer the caller has taken.
 #[derive(Debug)]
 struct Progress {
     kept: u64,
     taken: u64,
-    /// Since when something is kept; none while nothing is.
+    /// Since when bytes are kept; `None` if none are.
     since: Option<Instant>,
     owed: Duration,
-    /// When it last took something, or something was first kept.
+    /// When the caller last took bytes, or bytes were first kept for it.
     last: Instant,
     longest: Duration,
 }
 
-/// What an answer's two ends share.
+/// State shared between the task that reads an answer and the bytes handed to the connection.
 struct DeliveryState {
     progress: Mutex<Progress>,
     taken: Notify,
@@ -74,7 +78,8 @@
         self.progress().kept > 0
     }
 
-    /// Bytes that count as taken once the last of them is dropped.
+    /// Counts bytes as kept until the last reference to them is dropped, which counts them as
+    /// taken.
     fn keep(self: &Arc<Self>, bytes: Bytes, charge: Option<Reserved>) -> Bytes {
         let length = bytes.len() as u64;
         let mut progress = self.progress();
@@ -120,7 +125,7 @@
     }
 }
 
-/// Bytes on their way.
+/// Counts bytes as taken when dropped.
 struct UntakenBytes {
     state: Arc<DeliveryState>,
     length: u64,
@@ -133,7 +138,7 @@
     }
 }
 
-/// The body of a stream of events that is read as it comes.
+/// The response body of an event stream, which a separate task reads ahead.
 pub(super) fn stream_body(
     relay: Arc<Relay>,
     call: Arc<Call>,
@@ -148,7 +153,7 @@
     BodyExt::boxed_unsync(StreamBody::new(pieces.map(|piece| piece.map(Frame::data))))
 }
 
-/// The body of a whole answer, whose engine is free.
+/// The response body of a complete answer, which no longer occupies its engine.
 pub(super) fn whole_body(
     relay: Arc<Relay>,
     call: Arc<Call>,
@@ -165,16 +170,16 @@
     whole(body)
 }
 
-/// The way of one answer.
+/// The delivery of one answer.
 struct Delivery {
     relay: Arc<Relay>,
     call: Arc<Call>,
     route: Arc<Route>,
     state: Arc<DeliveryState>,
-    /// A piece for which there was no room.
+    /// A chunk for which there was no room yet.
     waiting_piece: Option<Bytes>,
     check_timer: Pin<Box<Sleep>>,
-    /// Since when the engine is not read.
+    /// Since when reading from the engine has been suspended because of the caller.
     held_since: Option<Instant>,
 }
 
@@ -191,7 +196,7 @@
         }
     }
 
-    /// Passes events on until they end, the caller goes or it is let go.
+    /// Forwards events until the stream ends, the caller disconnects or is given up as too slow.
     async fn run(
         mut self,
         events: impl Stream<Item = io::Result<Bytes>> + Send,
@@ -224,7 +229,7 @@
         self.finish().await;
     }
 
-    /// Waits until the caller has taken all, or lets it go.
+    /// Waits until the caller has taken everything or is given up as too slow.
     async fn finish(mut self) {
         self.track_held(true);
         while self.state.has_untaken() {
@@ -239,7 +244,7 @@
         }
     }
 
-    /// Passes the piece on that waits for room; whether there is room for the next.
+    /// Sends the waiting chunk if there is room. Returns whether there is room for another one.
     fn send_waiting(&mut self, sender: &UnboundedSender<io::Result<Bytes>>) -> bool {
         let kept = self.state.progress().kept;
         let passed = match self.waiting_piece.take() {
@@ -261,12 +266,13 @@
             },
         };
         let has_room = passed && kept < MAX_KEPT_BYTES;
-        // Only what the caller has not taken is its own doing.
+        // The caller is responsible only if it has not taken what is kept for it.
         self.track_held(has_room || kept == 0);
         has_room
     }
 
-    /// Room for a piece beside what is kept; the first bytes need none.
+    /// Reserves memory for a chunk on top of the `kept` bytes; the first [`UNCHARGED_BYTES`] need
+    /// none.
     fn reserve(&self, kept: u64, length: u64) -> Result<Option<Reserved>, ()> {
         if kept + length <= UNCHARGED_BYTES {
             return Ok(None);
@@ -285,7 +291,8 @@
         }
     }
 
-    /// Looks at the caller; whether it was let go.
+    /// Checks the caller and closes its connection if it is too slow. Returns whether it was
+    /// closed.
     fn give_up_if_slow(&mut self) -> bool {
         self.check_timer = Box::pin(sleep(CHECK_INTERVAL));
         let held = self.held_since.map_or(Duration::ZERO, |since| since.elapsed());
--- a/src/relay/traffic.rs
+++ b/src/relay/traffic.rs
@@ -1,11 +1,11 @@
-//! Requests and bytes to and from backend servers, by how far these are.
+//! Counts requests and bytes exchanged with backend servers, by distance.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::decide::topology::Reach;
 
-/// What went one way, by reach.
+/// A counter for each distance class.
 #[derive(Debug, Default)]
 struct CountsByReach([AtomicU64; Reach::ALL.len()]);
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Counts since the start.
+/// Counters since the start of the process.
 #[derive(Debug, Default)]
 pub struct TrafficCounters {
     sends: CountsByReach,
@@ -28,28 +28,28 @@
 }
 
 impl TrafficCounters {
-    /// Counts a send with so many bytes of body.
+    /// Counts a send with a body of `bytes` bytes.
     pub fn count_send(&self, reach: Reach, bytes: usize) {
         self.sends.add(reach, 1);
         self.sent_bytes.add(reach, bytes as u64);
     }
 
-    /// Where the bytes of an answer are counted.
+    /// The counter for the bytes of answers; the caller adds to it as they arrive.
     pub fn answer_byte_counter(&self, reach: Reach) -> Arc<AtomicU64> {
         self.answered_bytes[reach as usize].clone()
     }
 
-    /// Sends.
+    /// Number of sends.
     pub fn sends(&self, reach: Reach) -> u64 {
         self.sends.get(reach)
     }
 
-    /// Bytes of requests.
+    /// Bytes of request bodies sent.
     pub fn sent_bytes(&self, reach: Reach) -> u64 {
         self.sent_bytes.get(reach)
     }
 
-    /// Bytes of answers.
+    /// Bytes of answers received.
     pub fn answered_bytes(&self, reach: Reach) -> u64 {
         self.answered_bytes[reach as usize].load(Ordering::Relaxed)
     }
