--- a/src/control/heartbeat.rs
+++ b/src/control/heartbeat.rs
@@ -11,7 +11,7 @@
 use super::models::ModelsUpdate;
 use crate::clock;
 use crate::decide::allowance::{Grant, TeamDemand};
-use crate::decide::capacity::Offered;
+use crate::decide::capacity::OfferedLoad;
 use crate::decide::engine::Sample;
 use crate::decide::intervals::retry_delay;
 use crate::decide::loads::LoadSample;
@@ -59,7 +59,7 @@
     /// whose counts are news.
     pub usage: Counts,
     /// Prompt tokens a second that callers bring for each service.
-    pub offered: BTreeMap<ServiceName, Offered>,
+    pub offered: BTreeMap<ServiceName, OfferedLoad>,
     /// What this box has learned of engines, if it is news.
     pub engines: Option<Models>,
     /// What requests showed of engines of which the box knows too little for a fit of its own.
--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -15,7 +15,7 @@
 use super::rollouts::Rollouts;
 use super::spend::{Spender, Weights};
 use crate::decide::allowance::{Grant, LEASE_DURATION, TeamDemand};
-use crate::decide::capacity::Offered;
+use crate::decide::capacity::OfferedLoad;
 use crate::decide::engine::{EngineLearner, EngineModel, Sample};
 use crate::decide::intervals::heartbeat_interval;
 use crate::decide::limit_leases::{LimitLeases, ReportOrigin};
@@ -67,7 +67,7 @@
     heard: Instant,
     /// The published document that it had.
     document: Version,
-    offered: BTreeMap<ServiceName, Offered>,
+    offered: BTreeMap<ServiceName, OfferedLoad>,
     told: DeltaReceiver,
 }
 
@@ -386,7 +386,7 @@
 
     /// Takes what the relays that are present say of the services' demand.
     fn record_demand(&mut self) {
-        let mut sums: BTreeMap<ServiceName, Offered> = BTreeMap::new();
+        let mut sums: BTreeMap<ServiceName, OfferedLoad> = BTreeMap::new();
         let present = self.words.values().filter(|word| word.heard.elapsed() < ABSENT_TIME);
         for (service, offered) in present.flat_map(|word| &word.offered) {
             let sum = sums.entry(service.clone()).or_default();
--- a/src/control/spend.rs
+++ b/src/control/spend.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use crate::decide::absence::Seen;
-use crate::decide::capacity::{Market, Offered};
+use crate::decide::capacity::{Market, OfferedLoad};
 use crate::decide::engine::EngineModel;
 use crate::decide::hazard::DrySpells;
 use crate::decide::orders::{OrderTracker, Place};
@@ -64,7 +64,7 @@
 
     /// Notes what is offered to each service over all boxes, at `now` in seconds, as reports of `age` seconds
     /// on the mean have it.
-    pub(crate) fn note(&mut self, now: f64, age: f64, sums: &BTreeMap<ServiceName, Offered>) {
+    pub(crate) fn note(&mut self, now: f64, age: f64, sums: &BTreeMap<ServiceName, OfferedLoad>) {
         for (service, sum) in sums {
             self.demands.entry(service.clone()).or_default().note(now, age, *sum);
         }
--- a/src/decide/capacity.rs
+++ b/src/decide/capacity.rs
@@ -38,112 +38,117 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Arrivals {
     /// Requests.
-    pub calls: f64,
+    pub requests: f64,
     /// Their prompt tokens.
-    pub tokens: f64,
+    pub prompt_tokens: f64,
     /// The squares of their prompt tokens.
-    pub squares: f64,
+    pub squared_prompt_tokens: f64,
     /// Their objectives, in seconds.
-    pub objectives: f64,
+    pub objective_seconds: f64,
     /// Tokens that may come out, as callers say.
-    pub output: f64,
+    pub output_tokens: f64,
 }
 
 impl Arrivals {
     /// Counts a request.
-    pub fn count(&mut self, tokens: f64, output: f64, objective: f64) {
-        self.calls += 1.0;
-        self.tokens += tokens;
-        self.squares += tokens * tokens;
-        self.objectives += objective;
-        self.output += output;
+    pub fn record(&mut self, prompt_tokens: f64, output_tokens: f64, objective: f64) {
+        self.requests += 1.0;
+        self.prompt_tokens += prompt_tokens;
+        self.squared_prompt_tokens += prompt_tokens * prompt_tokens;
+        self.objective_seconds += objective;
+        self.output_tokens += output_tokens;
     }
 }
 
 /// What callers bring for a service, a second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Offered {
+pub struct OfferedLoad {
     /// Prompt tokens, as the mean of the last seconds.
-    pub mean: f64,
+    #[serde(rename = "mean")]
+    pub prompt_tokens: f64,
     /// The highest mean of late, which fades.
     pub peak: f64,
     /// Requests.
-    pub calls: f64,
+    #[serde(rename = "calls")]
+    pub requests: f64,
     /// The squares of their prompt tokens.
-    pub squares: f64,
+    #[serde(rename = "squares")]
+    pub squared_prompt_tokens: f64,
     /// Their objectives, in seconds.
-    pub objectives: f64,
+    #[serde(rename = "objectives")]
+    pub objective_seconds: f64,
     /// Tokens that may come out.
-    pub output: f64,
+    #[serde(rename = "output")]
+    pub output_tokens: f64,
 }
 
-impl Offered {
+impl OfferedLoad {
     /// Takes what came in the last `passed` seconds.
-    pub fn note(&mut self, passed: f64, came: Arrivals) {
-        let passed = passed.max(0.05);
-        let weight = 1.0 - (-passed / MEAN_TIME).exp();
-        let follow = |mean: &mut f64, sum: f64| *mean += weight * (sum / passed - *mean);
-        follow(&mut self.mean, came.tokens);
-        follow(&mut self.calls, came.calls);
-        follow(&mut self.squares, came.squares);
-        follow(&mut self.objectives, came.objectives);
-        follow(&mut self.output, came.output);
-        self.peak = (self.peak * (-passed / PEAK_TIME).exp()).max(self.mean);
+    pub fn record(&mut self, elapsed: f64, arrived: Arrivals) {
+        let elapsed = elapsed.max(0.05);
+        let weight = 1.0 - (-elapsed / MEAN_TIME).exp();
+        let update = |mean: &mut f64, sum: f64| *mean += weight * (sum / elapsed - *mean);
+        update(&mut self.prompt_tokens, arrived.prompt_tokens);
+        update(&mut self.requests, arrived.requests);
+        update(&mut self.squared_prompt_tokens, arrived.squared_prompt_tokens);
+        update(&mut self.objective_seconds, arrived.objective_seconds);
+        update(&mut self.output_tokens, arrived.output_tokens);
+        self.peak = (self.peak * (-elapsed / PEAK_TIME).exp()).max(self.prompt_tokens);
     }
 
     /// So many times as much of the same requests.
     pub fn scaled(&self, times: f64) -> Self {
         Self {
-            mean: self.mean * times,
+            prompt_tokens: self.prompt_tokens * times,
             peak: self.peak * times,
-            calls: self.calls * times,
-            squares: self.squares * times,
-            objectives: self.objectives * times,
-            output: self.output * times,
+            requests: self.requests * times,
+            squared_prompt_tokens: self.squared_prompt_tokens * times,
+            objective_seconds: self.objective_seconds * times,
+            output_tokens: self.output_tokens * times,
         }
     }
 
     /// The peak once `passed` seconds have gone by.
-    pub fn faded(peak: f64, passed: f64) -> f64 {
+    pub fn decayed_peak(peak: f64, passed: f64) -> f64 {
         peak * (-passed.max(0.0) / PEAK_TIME).exp()
     }
 }
 
-impl std::ops::Add for Offered {
+impl std::ops::Add for OfferedLoad {
     type Output = Self;
 
     fn add(self, other: Self) -> Self {
         Self {
-            mean: self.mean + other.mean,
+            prompt_tokens: self.prompt_tokens + other.prompt_tokens,
             peak: self.peak + other.peak,
-            calls: self.calls + other.calls,
-            squares: self.squares + other.squares,
-            objectives: self.objectives + other.objectives,
-            output: self.output + other.output,
+            requests: self.requests + other.requests,
+            squared_prompt_tokens: self.squared_prompt_tokens + other.squared_prompt_tokens,
+            objective_seconds: self.objective_seconds + other.objective_seconds,
+            output_tokens: self.output_tokens + other.output_tokens,
         }
     }
 }
 
 /// A load as engines see it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Load {
+pub struct ServiceLoad {
     /// Requests a second.
-    pub calls: f64,
+    pub requests: f64,
     /// Seconds of reading that a second brings.
-    pub work: f64,
+    pub prefill_load: f64,
     /// Mean seconds of reading that a request finds under way at an engine that reads.
-    pub residue: f64,
+    pub residual_prefill: f64,
     /// Seconds that a request may wait and still be on time.
     pub slack: f64,
     /// How many times more requests come late than a queue explains.
-    pub times: f64,
+    pub late_factor: f64,
     /// Seconds of a place that a second brings, at engines that read nothing else.
-    pub held: f64,
+    pub slot_load: f64,
     /// Places of an engine; 0 where that is not known.
     pub slots: f64,
 }
 
-impl Load {
+impl ServiceLoad {
     /// What `offered` asks of engines by `model`, at its peak. Nothing is taken to be cached: after
     /// the loss of a data centre nothing is.
     ///
@@ -151,66 +156,72 @@
     /// old reports, load comes unevenly, and reading prompts holds up the streams beside it. As many
     /// times more as are seen now are expected for other numbers of engines.
     pub fn new(
-        offered: &Offered,
+        offered: &OfferedLoad,
         peak: f64,
         model: &EngineModel,
         engines: u32,
         slots: f64,
     ) -> Option<Self> {
-        if offered.mean <= 0.0 || offered.calls <= 0.0 {
+        if offered.prompt_tokens <= 0.0 || offered.requests <= 0.0 {
             return None;
         }
-        let mean = model.read_time(offered.mean / offered.calls);
-        let objective = offered.objectives / offered.calls;
+        let mean = model.read_time(offered.prompt_tokens / offered.requests);
+        let objective = offered.objective_seconds / offered.requests;
         let load = Self {
-            calls: offered.calls * peak / offered.mean,
-            work: model.read_time(peak),
-            residue: model.read_time(offered.squares / offered.mean) / 2.0,
+            requests: offered.requests * peak / offered.prompt_tokens,
+            prefill_load: model.read_time(peak),
+            residual_prefill: model
+                .read_time(offered.squared_prompt_tokens / offered.prompt_tokens)
+                / 2.0,
             slack: (objective - model.base - mean).max(0.0),
-            times: 1.0,
-            held: model.held(offered) * peak / offered.mean,
+            late_factor: 1.0,
+            slot_load: model.slot_load(offered) * peak / offered.prompt_tokens,
             slots,
         };
         let now = Self {
-            calls: offered.calls,
-            work: model.read_time(offered.mean),
-            held: model.held(offered),
+            requests: offered.requests,
+            prefill_load: model.read_time(offered.prompt_tokens),
+            slot_load: model.slot_load(offered),
             ..load
         };
-        let expected = now.late(engines) / now.calls;
-        let times = (model.late / expected.max(1e-6)).clamp(1.0, TIMES_LIMIT);
-        Some(Self { times, ..load })
+        let expected = now.late_rate(engines) / now.requests;
+        let late_factor = (model.late / expected.max(1e-6)).clamp(1.0, TIMES_LIMIT);
+        Some(Self { late_factor, ..load })
     }
 
     /// The load when so many times as much comes.
-    pub fn surged(&self, surge: f64) -> Self {
-        let (calls, work, held) = (self.calls * surge, self.work * surge, self.held * surge);
-        Self { calls, work, held, ..*self }
+    pub fn scaled(&self, surge: f64) -> Self {
+        Self {
+            requests: self.requests * surge,
+            prefill_load: self.prefill_load * surge,
+            slot_load: self.slot_load * surge,
+            ..*self
+        }
     }
 
     /// Late requests a second with so many engines.
-    pub fn late(&self, engines: u32) -> f64 {
-        let load = self.work / f64::from(engines.max(1));
+    pub fn late_rate(&self, engines: u32) -> f64 {
+        let load = self.prefill_load / f64::from(engines.max(1));
         if load >= 1.0 {
-            return self.calls;
+            return self.requests;
         }
-        let tail = (-(1.0 - load) * self.slack / self.residue.max(1e-6)).exp();
-        let late = load * tail + self.without_place(engines, 1.0 - load);
-        self.calls * (self.times * late).min(1.0)
+        let tail = (-(1.0 - load) * self.slack / self.residual_prefill.max(1e-6)).exp();
+        let late = load * tail + self.slot_wait_fraction(engines, 1.0 - load);
+        self.requests * (self.late_factor * late).min(1.0)
     }
 
     /// The part of the requests that wait too long for a place, where engines go on with their streams for
     /// the part `free` of their time.
-    fn without_place(&self, engines: u32, free: f64) -> f64 {
-        if self.slots <= 0.0 || self.held <= 0.0 {
+    fn slot_wait_fraction(&self, engines: u32, free: f64) -> f64 {
+        if self.slots <= 0.0 || self.slot_load <= 0.0 {
             return 0.0;
         }
-        let load = self.held / (free * self.slots * f64::from(engines.max(1)));
+        let load = self.slot_load / (free * self.slots * f64::from(engines.max(1)));
         if load >= 1.0 {
             return 1.0;
         }
         let waits = load.powf((2.0 * (self.slots + 1.0)).sqrt() - 1.0);
-        let stay = self.held / self.calls / free;
+        let stay = self.slot_load / self.requests / free;
         waits * (-self.slots * (1.0 - load) * self.slack / stay).exp()
     }
 
@@ -220,14 +231,14 @@
     /// While all requests come late, one engine more gains nothing, and many more may gain all. Beyond
     /// that each gains less than the one before. So the least cost is at the smallest number or at the
     /// first one there at which a further engine gains less than its price.
-    pub fn engines(&self, there: u32, most: u32, price: f64, weight: f64) -> u32 {
-        let least = (self.work / FULL_LOAD).ceil().max(1.0) as u32;
+    pub fn cheapest_count(&self, there: u32, most: u32, price: f64, weight: f64) -> u32 {
+        let least = (self.prefill_load / FULL_LOAD).ceil().max(1.0) as u32;
         let least = least.min(most).max(there);
-        let gain = |count| weight * (self.late(count) - self.late(count + 1));
-        let cost = |count: &u32| price * f64::from(*count) + weight * self.late(*count);
+        let gain = |count| weight * (self.late_rate(count) - self.late_rate(count + 1));
+        let cost = |count: &u32| price * f64::from(*count) + weight * self.late_rate(*count);
         // Where nearly all wait for a place, the first engines gain little and the next ones much.
         let ample = LATE_PARTS.map(|part| {
-            let helped = first(least, most, |count| self.late(count) < part * self.calls);
+            let helped = first(least, most, |count| self.late_rate(count) < part * self.requests);
             first(helped, most, |count| gain(count) <= price)
         });
         let best = ample.into_iter().chain([least]).min_by(|a, b| cost(a).total_cmp(&cost(b)));
@@ -237,7 +248,7 @@
     /// How many engines on demand cost the least beside `spots` reclaimable ones, over what may be left of
     /// those once an engine ordered now serves. Of the `held` ones stay those that gain what a second of
     /// theirs costs: that they had to boot is paid.
-    pub fn stand_in(&self, spots: u32, held: u32, market: &Market) -> u32 {
+    pub fn on_demand_engines(&self, spots: u32, held: u32, market: &Market) -> u32 {
         let best = self.cheapest(spots, market.reserve_price(), market);
         if held <= best {
             return best;
@@ -247,10 +258,10 @@
 
     fn cheapest(&self, spots: u32, price: f64, market: &Market) -> u32 {
         let most = market.most * market.places;
-        let least = ((self.work / FULL_LOAD).ceil().max(1.0) as u32).min(most);
+        let least = ((self.prefill_load / FULL_LOAD).ceil().max(1.0) as u32).min(most);
         let cases: Vec<_> = market.outlook.left_of(spots).collect();
         let cost = |count: &u32| {
-            let late = cases.iter().map(|(left, chance)| chance * self.late(left + count));
+            let late = cases.iter().map(|(left, chance)| chance * self.late_rate(left + count));
             price * f64::from(*count) + market.late * late.sum::<f64>()
         };
         cheapest(least.saturating_sub(spots), most.saturating_sub(spots), |count| cost(&count))
@@ -259,11 +270,11 @@
     /// How many reclaimable engines over all data centres cost the least, with what late requests cost
     /// and what engines on demand cost while data centres have none. So many as are `held` stay where
     /// that costs hardly more: each change has engines boot for nothing.
-    pub fn spots(&self, market: &Market, held: u32) -> u32 {
+    pub fn spot_engines(&self, market: &Market, held: u32) -> u32 {
         let places = market.places.max(1);
         // The loss of one data centre leaves what would be bought on demand.
         let most = market.most * places;
-        let bare = self.engines(0, most, market.on_demand_price(), market.late);
+        let bare = self.cheapest_count(0, most, market.on_demand_price(), market.late);
         let least = market.with_spare(bare).min(most);
         let cost = |count| self.cost(count, market);
         let best = cheapest(least, most, cost);
@@ -283,12 +294,12 @@
         for away in 0..=places {
             let there = count * (places - away) / places;
             let most = market.most * places;
-            let bought = self.engines(there, most, market.on_demand_price(), market.late);
+            let bought = self.cheapest_count(there, most, market.on_demand_price(), market.late);
             let covered =
-                f64::from(bought) * market.on_demand + market.late * self.late(there + bought);
+                f64::from(bought) * market.on_demand + market.late * self.late_rate(there + bought);
             let late = match away {
                 0 => covered,
-                _ => uncovered * market.late * self.late(there) + (1.0 - uncovered) * covered,
+                _ => uncovered * market.late * self.late_rate(there) + (1.0 - uncovered) * covered,
             };
             cost += chance * late;
             let next = f64::from(places - away) / f64::from(away + 1);
--- a/src/decide/engine.rs
+++ b/src/decide/engine.rs
@@ -15,7 +15,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::capacity::Offered;
+use super::capacity::OfferedLoad;
 
 /// Prompt tokens a second, before anything was seen: about one accelerator's rate for a model of some
 /// ten billion parameters. Only the comparison of engines goes by it; none are ordered before the
@@ -94,10 +94,10 @@
 
     /// Seconds of a place that a second of what is offered asks for, at engines that read nothing else: each
     /// request's own reading, and its events.
-    pub fn held(&self, offered: &Offered) -> f64 {
-        let events = offered.output * self.events * self.pace;
+    pub fn slot_load(&self, offered: &OfferedLoad) -> f64 {
+        let events = offered.output_tokens * self.events * self.pace;
         if events > 0.0 {
-            self.read_time(offered.mean) + offered.calls * self.base + events
+            self.read_time(offered.prompt_tokens) + offered.requests * self.base + events
         } else {
             0.0
         }
--- a/src/decide/spend.rs
+++ b/src/decide/spend.rs
@@ -9,7 +9,7 @@
 
 use std::cmp::Ordering;
 
-use super::capacity::{Load, MEAN_TIME, Market, Offered};
+use super::capacity::{MEAN_TIME, Market, OfferedLoad, ServiceLoad};
 use super::engine::EngineModel;
 use crate::ids::DataCentre;
 
@@ -39,7 +39,7 @@
 /// What a service is offered over all boxes.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Demand {
-    offered: Offered,
+    offered: OfferedLoad,
     peak: f64,
     at: f64,
     /// Seconds since the boxes' reports, on the mean.
@@ -55,14 +55,14 @@
     ///
     /// Their peaks come at different times, so a part of the sum stands for the peak of the sum; a new
     /// leader has nothing else to go by.
-    pub fn note(&mut self, now: f64, age: f64, sum: Offered) {
+    pub fn note(&mut self, now: f64, age: f64, sum: OfferedLoad) {
         self.age = age;
-        let faded = Offered::faded(self.peak, now - self.at);
+        let faded = OfferedLoad::decayed_peak(self.peak, now - self.at);
         let told = if self.first.is_none() { sum.peak * PEAK_PART } else { 0.0 };
-        self.peak = faded.max(told).max(sum.mean);
+        self.peak = faded.max(told).max(sum.prompt_tokens);
         self.offered = sum;
         self.at = now;
-        if sum.mean > 0.0 && self.first.is_none() {
+        if sum.prompt_tokens > 0.0 && self.first.is_none() {
             self.first = Some(now);
         }
     }
@@ -97,43 +97,43 @@
             true => self.early(seen)?,
             false => (self.offered, self.peak),
         };
-        let load = Load::new(&offered, peak, model, serving.total, market.slots)?;
+        let load = ServiceLoad::new(&offered, peak, model, serving.total, market.slots)?;
         let load = self.as_in_calm(load, market, serving);
-        let bought = load.stand_in(serving.spot, serving.on_demand, market);
+        let bought = load.on_demand_engines(serving.spot, serving.on_demand, market);
         let bare = if bought > 0 { serving.spot + bought } else { 0 };
         let scarce = market.outlook.gone > 0;
-        let ample = load.surged(market.surge).spots(market, held);
+        let ample = load.scaled(market.surge).spot_engines(market, held);
         Some(Need { ample, bare, traffic: true, scarce })
     }
 
     /// What is offered and its peak `seen` seconds after the first traffic, where so many requests came that
     /// their rate is known. The means begin at nothing; what they lack yet is made up for.
-    fn early(&self, seen: f64) -> Option<(Offered, f64)> {
+    fn early(&self, seen: f64) -> Option<(OfferedLoad, f64)> {
         let told = seen - self.age;
-        if told < LEAST_SEEN || self.offered.calls * MEAN_TIME < ENOUGH_CALLS {
+        if told < LEAST_SEEN || self.offered.requests * MEAN_TIME < ENOUGH_CALLS {
             return None;
         }
         let part = 1.0 - (-told / MEAN_TIME).exp();
         let offered = self.offered.scaled(1.0 / part);
-        Some((offered, offered.mean.max(self.peak)))
+        Some((offered, offered.prompt_tokens.max(self.peak)))
     }
 
     /// What a load is to be met with while data centres are gone. Few requests are served then, which
     /// teaches nothing, and those that can't be come back before an engine has booted: the gap is ordered as
     /// a whole, not step by step as they do.
-    fn as_in_calm(&mut self, load: Load, market: &Market, serving: Serving) -> Load {
+    fn as_in_calm(&mut self, load: ServiceLoad, market: &Market, serving: Serving) -> ServiceLoad {
         if market.outlook.gone == 0 {
-            self.calm = Some(Calm { peak: self.peak, times: load.times, at: self.at });
+            self.calm = Some(Calm { peak: self.peak, times: load.late_factor, at: self.at });
             return load;
         }
         let Some(calm) = self.calm else {
             return load;
         };
-        let peak = Offered::faded(calm.peak, self.at - calm.at);
-        let load = Load { times: calm.times, ..load };
-        let returning = load.late(serving.total) / load.calls;
+        let peak = OfferedLoad::decayed_peak(calm.peak, self.at - calm.at);
+        let load = ServiceLoad { late_factor: calm.times, ..load };
+        let returning = load.late_rate(serving.total) / load.requests;
         let expected = peak * (1.0 + (market.surge - 1.0) * returning);
-        load.surged((expected / self.peak).max(1.0))
+        load.scaled((expected / self.peak).max(1.0))
     }
 }
 
--- a/tests/control_bytes.rs
+++ b/tests/control_bytes.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use emberturn::decide::allowance::{Grant, TeamDemand};
-use emberturn::decide::capacity::Offered;
+use emberturn::decide::capacity::OfferedLoad;
 use emberturn::decide::engine::EngineModel;
 use emberturn::decide::intervals::HEARTBEAT_INTERVAL;
 use emberturn::decide::loads::LoadSample;
@@ -114,13 +114,13 @@
 }
 
 fn beat(fleet: &Fleet) -> BoxHeartbeat {
-    let offered = |seed| Offered {
-        mean: drawn(seed),
+    let offered = |seed| OfferedLoad {
+        prompt_tokens: drawn(seed),
         peak: drawn(seed + 1),
-        calls: drawn(seed + 2),
-        squares: drawn(seed + 3),
-        objectives: drawn(seed + 4),
-        output: drawn(seed + 5),
+        requests: drawn(seed + 2),
+        squared_prompt_tokens: drawn(seed + 3),
+        objective_seconds: drawn(seed + 4),
+        output_tokens: drawn(seed + 5),
     };
     let demand = |seed| TeamDemand {
         total: drawn(seed),
--- a/tests/markets.rs
+++ b/tests/markets.rs
@@ -2,7 +2,7 @@
 //! ordered, against an oracle that knows the spells.
 
 use emberturn::decide::absence::Seen;
-use emberturn::decide::capacity::{Absence, Load, Market};
+use emberturn::decide::capacity::{Absence, Market, ServiceLoad};
 use emberturn::decide::hazard::{DrySpells, Outlook};
 use emberturn::ids::DataCentre;
 use rand::rngs::SmallRng;
@@ -19,13 +19,13 @@
 const AGAIN: f64 = 3.0;
 
 /// A load that 12 engines or so are worth their price for.
-const LOAD: Load = Load {
-    calls: 300.0,
-    work: 6.0,
-    residue: 0.06,
+const LOAD: ServiceLoad = ServiceLoad {
+    requests: 300.0,
+    prefill_load: 6.0,
+    residual_prefill: 0.06,
     slack: 0.35,
-    times: 1.5,
-    held: 60.0,
+    late_factor: 1.5,
+    slot_load: 60.0,
     slots: 12.0,
 };
 
@@ -157,7 +157,7 @@
             engines.truncate(wanted);
             engines.resize(wanted, now + self.boot + STEP);
             let serving = engines.iter().filter(|from| **from <= now).count() as u32;
-            let late = LOAD.late(self.spots(now) + serving);
+            let late = LOAD.late_rate(self.spots(now) + serving);
             cost += STEP * (engines.len() as f64 + 0.5 * late);
         }
         cost / self.until
@@ -190,10 +190,10 @@
         let outlook = if way == Way::Foreseen { spells.outlook(self.boot) } else { calm };
         let market = self.market(spells.absence(), outlook);
         match way {
-            Way::Foreseen | Way::LastNotice => LOAD.stand_in(spots, held, &market),
-            Way::FirstNotice if spells.gone() > 0 => LOAD.stand_in(0, held, &market),
-            Way::FirstNotice => LOAD.stand_in(spots, held, &market),
-            Way::Reserve(least) => LOAD.stand_in(spots, held, &market).max(least),
+            Way::Foreseen | Way::LastNotice => LOAD.on_demand_engines(spots, held, &market),
+            Way::FirstNotice if spells.gone() > 0 => LOAD.on_demand_engines(0, held, &market),
+            Way::FirstNotice => LOAD.on_demand_engines(spots, held, &market),
+            Way::Reserve(least) => LOAD.on_demand_engines(spots, held, &market).max(least),
         }
     }
 
@@ -207,10 +207,10 @@
             let mut cost = 0.0;
             for now in self.times() {
                 let spots = self.spots(now);
-                let count = LOAD.stand_in(spots, 0, &market);
+                let count = LOAD.on_demand_engines(spots, 0, &market);
                 let booting = f64::from(count.saturating_sub(held)) * self.boot;
                 held = count;
-                let late = LOAD.late(spots + count);
+                let late = LOAD.late_rate(spots + count);
                 cost += booting + STEP * (f64::from(count) + 0.5 * late);
             }
             cost / self.until
--- a/tests/spend.rs
+++ b/tests/spend.rs
@@ -1,6 +1,6 @@
 //! How many engines are ordered, of which kind, and where.
 
-use emberturn::decide::capacity::{Absence, Arrivals, Load, Market, Offered};
+use emberturn::decide::capacity::{Absence, Arrivals, Market, OfferedLoad, ServiceLoad};
 use emberturn::decide::engine::{EngineLearner, EngineModel};
 use emberturn::decide::hazard::Outlook;
 use emberturn::decide::spend::{Bounds, Count, Demand, Need, Serving, Site, plan};
@@ -52,10 +52,10 @@
 fn reclaimable_engines_hold_the_bare_need_without_any_one_data_centre() {
     for times in [0.3, 1.0, 2.0] {
         let load = load(times, &MODEL);
-        let bare = load.engines(0, 1_000, MARKET.on_demand_price(), MARKET.late);
+        let bare = load.cheapest_count(0, 1_000, MARKET.on_demand_price(), MARKET.late);
         for places in 2..=6 {
             let market = Market { places, most: 100, ..MARKET };
-            let spots = load.spots(&market, 0);
+            let spots = load.spot_engines(&market, 0);
             let left = spots - spots.div_ceil(places);
             assert!(left >= bare, "{left} of {spots} left in {places} places, {bare} needed");
         }
@@ -66,11 +66,11 @@
 fn spare_grows_with_what_absences_cost() {
     let load = load(1.0, &MODEL);
     let with = |share, length| {
-        load.spots(&Market { most: 100, absence: Absence { share, length }, ..MARKET }, 0)
+        load.spot_engines(&Market { most: 100, absence: Absence { share, length }, ..MARKET }, 0)
     };
     assert!(with(0.3, 12.0) > with(0.02, 12.0));
-    let dear = load.spots(&Market { most: 100, spot: 0.6, ..MARKET }, 0);
-    let cheap = load.spots(&Market { most: 100, spot: 0.05, ..MARKET }, 0);
+    let dear = load.spot_engines(&Market { most: 100, spot: 0.6, ..MARKET }, 0);
+    let cheap = load.spot_engines(&Market { most: 100, spot: 0.05, ..MARKET }, 0);
     assert!(cheap > dear, "{cheap} {dear}");
 }
 
@@ -79,7 +79,9 @@
     let offered = offered(1.0);
     let with = |late| {
         let model = EngineModel { late, ..MODEL };
-        Load::new(&offered, offered.mean, &model, 10, 0.0).unwrap().engines(0, 1_000, 1.0, 0.5)
+        ServiceLoad::new(&offered, offered.prompt_tokens, &model, 10, 0.0)
+            .unwrap()
+            .cheapest_count(0, 1_000, 1.0, 0.5)
     };
     assert_eq!(with(0.0001), with(0.0));
     assert!(with(0.1) > with(0.0001));
@@ -89,10 +91,10 @@
 
 #[test]
 fn small_change_of_the_load_changes_no_number() {
-    let held = load(1.0, &MODEL).spots(&MARKET, 0);
-    assert_eq!(load(1.04, &MODEL).spots(&MARKET, held), held);
-    assert_eq!(load(0.96, &MODEL).spots(&MARKET, held), held);
-    assert!(load(0.5, &MODEL).spots(&MARKET, held) < held);
+    let held = load(1.0, &MODEL).spot_engines(&MARKET, 0);
+    assert_eq!(load(1.04, &MODEL).spot_engines(&MARKET, held), held);
+    assert_eq!(load(0.96, &MODEL).spot_engines(&MARKET, held), held);
+    assert!(load(0.5, &MODEL).spot_engines(&MARKET, held) < held);
 }
 
 #[test]
@@ -202,21 +204,27 @@
     let mut came = Arrivals::default();
     for place in 0..100 {
         let tokens = if place % 5 == 0 { 12_000.0 } else { 2_000.0 };
-        came.count(tokens, 200.0, 0.6);
+        came.record(tokens, 200.0, 0.6);
     }
-    let Arrivals { calls, tokens, squares, objectives, output } = came;
+    let Arrivals {
+        requests: calls,
+        prompt_tokens: tokens,
+        squared_prompt_tokens: squares,
+        objective_seconds: objectives,
+        output_tokens: output,
+    } = came;
     Arrivals {
-        calls: calls * times,
-        tokens: tokens * times,
-        squares: squares * times,
-        objectives: objectives * times,
-        output: output * times,
+        requests: calls * times,
+        prompt_tokens: tokens * times,
+        squared_prompt_tokens: squares * times,
+        objective_seconds: objectives * times,
+        output_tokens: output * times,
     }
 }
 
-fn offered(times: f64) -> Offered {
-    let mut offered = Offered::default();
-    (0..80).for_each(|_| offered.note(0.5, arrivals(times * 0.5)));
+fn offered(times: f64) -> OfferedLoad {
+    let mut offered = OfferedLoad::default();
+    (0..80).for_each(|_| offered.record(0.5, arrivals(times * 0.5)));
     offered
 }
 
@@ -309,20 +317,20 @@
     assert!(high > later && later > end, "{high} {later} {end}");
 }
 
-fn load(times: f64, model: &EngineModel) -> Load {
+fn load(times: f64, model: &EngineModel) -> ServiceLoad {
     let offered = offered(times);
-    Load::new(&offered, offered.mean, model, 0, 0.0).unwrap()
+    ServiceLoad::new(&offered, offered.prompt_tokens, model, 0, 0.0).unwrap()
 }
 
 #[test]
 fn slower_engines_are_needed_in_larger_numbers() {
     let counts = [0.25, 0.5, 1.0, 2.0, 4.0].map(|times| {
         let model = EngineModel { rate: MODEL.rate * times, ..MODEL };
-        load(1.0, &model).engines(0, 1_000, 1.0, 0.5)
+        load(1.0, &model).cheapest_count(0, 1_000, 1.0, 0.5)
     });
     assert!(counts.windows(2).all(|pair| pair[0] > pair[1]), "{counts:?}");
     // Twice the load is worth less than twice the engines: more of them even out waits.
-    let [one, two] = [1.0, 2.0].map(|times| load(times, &MODEL).engines(0, 1_000, 1.0, 0.5));
+    let [one, two] = [1.0, 2.0].map(|times| load(times, &MODEL).cheapest_count(0, 1_000, 1.0, 0.5));
     assert!(one < two && two <= 2 * one, "{one} {two}");
 }
 
@@ -330,10 +338,10 @@
 fn further_engine_is_bought_as_long_as_it_gains_more_than_it_costs() {
     let load = load(1.0, &MODEL);
     for (price, weight) in [(1.0, 0.5), (0.15, 0.5), (1.0, 5.0), (3.0, 0.1)] {
-        let count = load.engines(0, 1_000, price, weight);
-        let gain = |count| weight * (load.late(count) - load.late(count + 1));
+        let count = load.cheapest_count(0, 1_000, price, weight);
+        let gain = |count| weight * (load.late_rate(count) - load.late_rate(count + 1));
         assert!(gain(count) <= price, "{count} at {price}");
-        let least = (load.work / 0.9).ceil() as u32;
+        let least = (load.prefill_load / 0.9).ceil() as u32;
         assert!(count == least || gain(count - 1) > price, "{count} at {price}");
     }
 }
@@ -352,12 +360,12 @@
         objective in 0.1..2.0_f64,
     ) {
         let model = EngineModel { rate, late, ..MODEL };
-        let offered = Offered { objectives: 100.0 * times * objective, ..offered(times) };
-        let load = Load::new(&offered, offered.mean, &model, serving, 0.0).unwrap();
+        let offered = OfferedLoad { objective_seconds: 100.0 * times * objective, ..offered(times) };
+        let load = ServiceLoad::new(&offered, offered.prompt_tokens, &model, serving, 0.0).unwrap();
         let most = 400;
-        let count = load.engines(0, most, price, weight);
-        let least = ((load.work / 0.9).ceil() as u32).clamp(1, most);
-        let cost = |count: u32| price * f64::from(count) + weight * load.late(count);
+        let count = load.cheapest_count(0, most, price, weight);
+        let least = ((load.prefill_load / 0.9).ceil() as u32).clamp(1, most);
+        let cost = |count: u32| price * f64::from(count) + weight * load.late_rate(count);
         let best = (least..=most).map(cost).fold(f64::INFINITY, f64::min);
         prop_assert!((least..=most).contains(&count), "{count} from {least} on");
         prop_assert!(cost(count) <= best + 1e-9, "{count}: {} in place of {best}", cost(count));
@@ -373,18 +381,18 @@
 }
 
 /// A load of answers that hold places for seconds and hardly any reading.
-fn long_answers(rate: f64, slots: f64, slack: f64) -> Load {
+fn long_answers(rate: f64, slots: f64, slack: f64) -> ServiceLoad {
     let model = EngineModel { rate: 1e9, pace: 0.035, events: 0.12, ..MODEL };
     let came = Arrivals {
-        calls: rate,
-        tokens: rate * 500.0,
-        squares: rate * 250_000.0,
-        objectives: rate * slack,
-        output: rate * 300.0,
+        requests: rate,
+        prompt_tokens: rate * 500.0,
+        squared_prompt_tokens: rate * 250_000.0,
+        objective_seconds: rate * slack,
+        output_tokens: rate * 300.0,
     };
-    let mut offered = Offered::default();
-    (0..200).for_each(|_| offered.note(1.0, came));
-    Load::new(&offered, offered.mean, &model, 1, slots).unwrap()
+    let mut offered = OfferedLoad::default();
+    (0..200).for_each(|_| offered.record(1.0, came));
+    ServiceLoad::new(&offered, offered.prompt_tokens, &model, 1, slots).unwrap()
 }
 
 #[test]
@@ -392,11 +400,11 @@
     for slots in [4_u32, 12, 32, 128] {
         for engines in [20, 60, 200] {
             let load = long_answers(100.0, f64::from(slots), 0.02);
-            let busy = load.held / (f64::from(slots) * f64::from(engines));
+            let busy = load.slot_load / (f64::from(slots) * f64::from(engines));
             if busy >= 0.95 || load.slack > 1e-9 {
                 continue;
             }
-            let late = load.late(engines) / load.calls;
+            let late = load.late_rate(engines) / load.requests;
             assert!((late - erlang(slots, busy)).abs() < 0.06, "{slots} places, {busy}: {late}");
         }
     }
@@ -414,14 +422,14 @@
         price in 0.1..1.5_f64,
     ) {
         let mut load = long_answers(rate, slots, slack);
-        (load.work, load.residue) = (reading, 0.05);
+        (load.prefill_load, load.residual_prefill) = (reading, 0.05);
         let (most, weight) = (2_000, 20.0);
-        let count = load.engines(0, most, price, weight);
-        let free = 1.0 - load.work / f64::from(count);
-        let busy = load.held / (free * slots * f64::from(count));
+        let count = load.cheapest_count(0, most, price, weight);
+        let free = 1.0 - load.prefill_load / f64::from(count);
+        let busy = load.slot_load / (free * slots * f64::from(count));
         prop_assert!(free > 0.05 && busy < 1.0, "{count} engines: {free} free, {busy} of the places");
-        let cost = |count: u32| price * f64::from(count) + weight * load.late(count);
-        let least = (load.work / 0.9).ceil().max(1.0) as u32;
+        let cost = |count: u32| price * f64::from(count) + weight * load.late_rate(count);
+        let least = (load.prefill_load / 0.9).ceil().max(1.0) as u32;
         let best = (least..=most).map(cost).fold(f64::INFINITY, f64::min);
         prop_assert!(cost(count) <= best + 1e-9 + 0.02 * best, "{count}: {} for {best}", cost(count));
     }
@@ -447,17 +455,17 @@
 fn long_answers_ask_for_places() {
     let model = EngineModel { rate: 60_000.0, pace: 0.034, events: 0.12, ..MODEL };
     let came = Arrivals {
-        calls: 376.0,
-        tokens: 640_000.0,
-        squares: 4e9,
-        objectives: 260.0,
-        output: 90_000.0,
+        requests: 376.0,
+        prompt_tokens: 640_000.0,
+        squared_prompt_tokens: 4e9,
+        objective_seconds: 260.0,
+        output_tokens: 90_000.0,
     };
-    let mut offered = Offered::default();
-    (0..200).for_each(|_| offered.note(1.0, came));
+    let mut offered = OfferedLoad::default();
+    (0..200).for_each(|_| offered.record(1.0, came));
     let with = |slots| {
-        let load = Load::new(&offered, offered.mean, &model, 60, slots).unwrap();
-        (load.engines(0, 1_000, 1.0, 0.5), load.held)
+        let load = ServiceLoad::new(&offered, offered.prompt_tokens, &model, 60, slots).unwrap();
+        (load.cheapest_count(0, 1_000, 1.0, 0.5), load.slot_load)
     };
     let (by_reading, held) = with(0.0);
     let (by_both, _) = with(12.0);
@@ -470,11 +478,11 @@
     // With few of them nearly all requests are late: one more gains nothing, many gain most.
     let model = EngineModel { rate: 20_000.0, late: 0.9, ..MODEL };
     let offered = offered(1.0);
-    let load = Load::new(&offered, offered.mean, &model, 40, 0.0).unwrap();
-    let few = (load.work / 0.9).ceil() as u32;
-    assert_eq!(load.late(few), load.late(few + 1));
-    let count = load.engines(0, 200, 0.15, 0.5);
-    let late = load.late(count) / load.calls;
+    let load = ServiceLoad::new(&offered, offered.prompt_tokens, &model, 40, 0.0).unwrap();
+    let few = (load.prefill_load / 0.9).ceil() as u32;
+    assert_eq!(load.late_rate(few), load.late_rate(few + 1));
+    let count = load.cheapest_count(0, 200, 0.15, 0.5);
+    let late = load.late_rate(count) / load.requests;
     assert!(late < 0.3, "{late} of the requests late with {count} engines");
 }
 
@@ -483,14 +491,17 @@
     // Prompts of one size and one engine: the mean wait follows Pollaczek and Khinchine.
     let (calls, tokens) = (10.0, 3_000.0);
     let mut came = Arrivals::default();
-    (0..10).for_each(|_| came.count(tokens, 200.0, 1.0));
-    let mut offered = Offered::default();
-    (0..200).for_each(|_| offered.note(1.0, came));
-    let load = Load::new(&offered, offered.mean, &MODEL, 0, 0.0).unwrap();
+    (0..10).for_each(|_| came.record(tokens, 200.0, 1.0));
+    let mut offered = OfferedLoad::default();
+    (0..200).for_each(|_| offered.record(1.0, came));
+    let load = ServiceLoad::new(&offered, offered.prompt_tokens, &MODEL, 0, 0.0).unwrap();
     let (busy, read) = (calls * tokens / MODEL.rate, tokens / MODEL.rate);
     // The tail, integrated over all waits, is the mean wait.
-    let mean = busy * load.residue / (1.0 - busy);
-    assert!((load.work - busy).abs() < 1e-6 && (load.residue - read / 2.0).abs() < 1e-6);
+    let mean = busy * load.residual_prefill / (1.0 - busy);
+    assert!(
+        (load.prefill_load - busy).abs() < 1e-6
+            && (load.residual_prefill - read / 2.0).abs() < 1e-6
+    );
     assert!((mean - calls * read * read / (2.0 * (1.0 - busy))).abs() < 1e-6);
 }
 
@@ -508,16 +519,16 @@
 }
 
 /// What boxes report when `calls` requests a second have come since `first`, as a mean that began at nothing.
-fn rising(calls: f64, since: f64) -> Offered {
+fn rising(calls: f64, since: f64) -> OfferedLoad {
     let part = 1.0 - (-since / 2.5_f64).exp();
     let tokens = 4_000.0;
-    Offered {
-        mean: calls * tokens * part,
+    OfferedLoad {
+        prompt_tokens: calls * tokens * part,
         peak: calls * tokens * part,
-        calls: calls * part,
-        squares: calls * tokens * tokens * part,
-        objectives: calls * part,
-        output: calls * 100.0 * part,
+        requests: calls * part,
+        squared_prompt_tokens: calls * tokens * tokens * part,
+        objective_seconds: calls * part,
+        output_tokens: calls * 100.0 * part,
     }
 }
 
@@ -547,7 +558,7 @@
         let load = load(times, &MODEL);
         let few = Market { most: 40, places: 6, ..MARKET };
         let many = Market { most: 985, ..few };
-        let (all, spread) = (load.spots(&few, 0), load.spots(&many, 0));
+        let (all, spread) = (load.spot_engines(&few, 0), load.spot_engines(&many, 0));
         if all < 200 {
             assert_eq!(all, spread, "{times} times the load");
         }
