--- a/src/control/spend.rs
+++ b/src/control/spend.rs
@@ -181,8 +181,8 @@
                     tokens = demand.peak() as u64, rate = model.rate as u64,
                     base_ms = (model.base * 1_000.0) as u64, wait_ms = (model.wait * 1_000.0) as u64, late = model.late,
                     pace_ms = (model.pace * 1_000.0) as u64, events = model.events,
-                    seen = model.weight as u64, away = market.absence.share,
-                    away_s = market.absence.length, gone = market.outlook.gone,
+                    seen = model.weight as u64, away = market.outages.fraction,
+                    away_s = market.outages.duration, gone = market.outlook.gone,
                     next = 1.0 - market.outlook.chances[0],
                 );
             }
@@ -195,13 +195,13 @@
         *first = (*first).max(listed);
         match demand.is_seen() {
             true => Need {
-                ample: market.at_start(*first),
+                ample: market.initial_spot_engines(*first),
                 bare: *first,
                 traffic: true,
                 ..Need::default()
             },
             false => Need {
-                ample: market.at_start(*first),
+                ample: market.initial_spot_engines(*first),
                 bare: first.div_ceil(FIRST_PART),
                 ..Need::default()
             },
@@ -242,15 +242,15 @@
         let spells = self.spells.entry(service.clone()).or_default();
         let boot = scaling.boot_time.as_secs_f64();
         Market {
-            places: places as u32,
-            most: scaling.most,
-            on_demand,
-            spot: on_demand * scaling.spot_price.unwrap_or(1.0),
-            late: self.weights.late,
-            surge: self.weights.surge,
+            data_centres: places as u32,
+            max_per_data_centre: scaling.most,
+            on_demand_price: on_demand,
+            spot_price: on_demand * scaling.spot_price.unwrap_or(1.0),
+            late_cost: self.weights.late,
+            surge_factor: self.weights.surge,
             slots,
-            boot,
-            absence: spells.absence(),
+            boot_time: boot,
+            outages: spells.absence(),
             outlook: spells.outlook(boot),
         }
     }
--- a/src/decide/absence.rs
+++ b/src/decide/absence.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::capacity::Absence;
+use super::capacity::OutageStats;
 use crate::ids::DataCentre;
 
 /// Seconds of a data centre, and of absence in them, taken to have been seen before anything was: cautious,
@@ -144,9 +144,9 @@
     }
 
     /// What is known.
-    pub fn absence(&self) -> Absence {
+    pub fn absence(&self) -> OutageStats {
         let share = (self.learned.away / self.learned.time).clamp(0.001, 0.9);
-        Absence { share, length: self.length() }
+        OutageStats { fraction: share, duration: self.length() }
     }
 
     /// The mean over those that ended and those that have lasted longer by now.
--- a/src/decide/capacity.rs
+++ b/src/decide/capacity.rs
@@ -1,56 +1,61 @@
-//! How many engines a load is worth: one more as long as it gains more than it costs.
+//! Computes the most economical number of engines for a load: adds engines while each saves more than it
+//! costs.
 //!
-//! What an engine gains is fewer late requests. A request is late when it waits longer than its
-//! objective leaves, for either of two things. For reading: how many do follows from the load of an engine
-//! and from the prompts it reads, as in a queue with one server (Pollaczek-Khinchine for the mean wait, an
-//! exponential tail). For a place: an engine runs so many requests at the same time, each for as long as
-//! its events take, and all of them stand still while it reads (Erlang's chance to wait, in Sakasegawa's
-//! approximation). Which of the two binds is the work's to say: long prompts ask for reading, long answers
-//! for places.
+//! An engine saves late requests. A request is late if it waits longer than its latency objective allows,
+//! for one of two resources:
+//!
+//! - Prefill: an engine reads one prompt at a time. The fraction of late requests follows from the engine's
+//!   utilisation and its prompt lengths as in an M/G/1 queue (Pollaczek-Khinchine mean wait, exponential
+//!   tail).
+//! - Slots: an engine runs a limited number of requests at once, each for the duration of its stream, and
+//!   all of them pause during a prefill. The waiting probability is Erlang C in Sakasegawa's approximation.
+//!
+//! Long prompts make prefill the bottleneck, long answers make slots the bottleneck.
 
 use serde::{Deserialize, Serialize};
 
 use super::engine::EngineModel;
 use super::hazard::Outlook;
 
-/// The part of its time that an engine reads at most: above it a queue hardly ends.
-const FULL_LOAD: f64 = 0.9;
+/// The maximum prefill utilisation of an engine. Above it, the queue hardly ever drains.
+const MAX_PREFILL_LOAD: f64 = 0.9;
 
-/// How many times more late requests than a queue's are taken to be the load's doing: others, as those
-/// whose prompts alone take longer than their objective, come late with any number of engines.
-const TIMES_LIMIT: f64 = 10.0;
+/// The upper bound of [`ServiceLoad::late_factor`]. Some requests are late with any number of engines, such
+/// as those whose prefill alone exceeds their objective; more engines do not help them.
+const MAX_LATE_FACTOR: f64 = 10.0;
 
-/// Parts of late requests from which on the cheapest number is looked for: below one of them each engine
-/// gains less than the one before, whatever binds.
-const LATE_PARTS: [f64; 3] = [1.0, 0.4, 0.1];
+/// The fractions of late requests below which the search for the cheapest count starts. Below at least one
+/// of them, each further engine saves less than the one before, whichever resource is the bottleneck.
+const LATE_FRACTIONS: [f64; 3] = [1.0, 0.4, 0.1];
 
-/// Numbers of engines that are compared at a time.
-const COMPARED: u32 = 256;
+/// The number of engine counts compared in one pass.
+const COUNTS_PER_PASS: u32 = 256;
 
-/// Seconds over which what is offered is averaged: a few, since an engine takes about as long to boot.
+/// The time constant, in seconds, of the averages of the offered load. It is close to the time an engine
+/// takes to boot.
 pub(super) const MEAN_TIME: f64 = 2.5;
 
-/// Seconds in which a peak of the offered tokens loses most of its weight: waves return, and an
-/// engine takes some seconds to boot.
+/// The time constant, in seconds, with which a peak of the offered tokens decays. Peaks recur, and an engine
+/// takes some seconds to boot.
 const PEAK_TIME: f64 = 25.0;
 
-/// Requests that came in some time.
+/// The requests that arrived in an interval.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Arrivals {
-    /// Requests.
+    /// The number of requests.
     pub requests: f64,
-    /// Their prompt tokens.
+    /// The sum of their prompt tokens.
     pub prompt_tokens: f64,
-    /// The squares of their prompt tokens.
+    /// The sum of their squared prompt tokens.
     pub squared_prompt_tokens: f64,
-    /// Their objectives, in seconds.
+    /// The sum of their latency objectives, in seconds.
     pub objective_seconds: f64,
-    /// Tokens that may come out, as callers say.
+    /// The sum of the output token limits that the callers set.
     pub output_tokens: f64,
 }
 
 impl Arrivals {
-    /// Counts a request.
+    /// Adds a request.
     pub fn record(&mut self, prompt_tokens: f64, output_tokens: f64, objective: f64) {
         self.requests += 1.0;
         self.prompt_tokens += prompt_tokens;
@@ -60,30 +65,30 @@
     }
 }
 
-/// What callers bring for a service, a second.
+/// The load offered to a service, as averages per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct OfferedLoad {
-    /// Prompt tokens, as the mean of the last seconds.
+    /// Prompt tokens per second.
     #[serde(rename = "mean")]
     pub prompt_tokens: f64,
-    /// The highest mean of late, which fades.
+    /// The recent peak of the prompt tokens per second, which decays.
     pub peak: f64,
-    /// Requests.
+    /// Requests per second.
     #[serde(rename = "calls")]
     pub requests: f64,
-    /// The squares of their prompt tokens.
+    /// Squared prompt tokens per second.
     #[serde(rename = "squares")]
     pub squared_prompt_tokens: f64,
-    /// Their objectives, in seconds.
+    /// Latency objectives, in seconds per second.
     #[serde(rename = "objectives")]
     pub objective_seconds: f64,
-    /// Tokens that may come out.
+    /// Output token limits, per second.
     #[serde(rename = "output")]
     pub output_tokens: f64,
 }
 
 impl OfferedLoad {
-    /// Takes what came in the last `passed` seconds.
+    /// Updates the averages with the arrivals of the last `elapsed` seconds.
     pub fn record(&mut self, elapsed: f64, arrived: Arrivals) {
         let elapsed = elapsed.max(0.05);
         let weight = 1.0 - (-elapsed / MEAN_TIME).exp();
@@ -96,7 +101,7 @@
         self.peak = (self.peak * (-elapsed / PEAK_TIME).exp()).max(self.prompt_tokens);
     }
 
-    /// So many times as much of the same requests.
+    /// The load multiplied by `times`.
     pub fn scaled(&self, times: f64) -> Self {
         Self {
             prompt_tokens: self.prompt_tokens * times,
@@ -108,7 +113,7 @@
         }
     }
 
-    /// The peak once `passed` seconds have gone by.
+    /// A peak after it decayed for `passed` seconds.
     pub fn decayed_peak(peak: f64, passed: f64) -> f64 {
         peak * (-passed.max(0.0) / PEAK_TIME).exp()
     }
@@ -129,32 +134,32 @@
     }
 }
 
-/// A load as engines see it.
+/// A load in terms of engine time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServiceLoad {
-    /// Requests a second.
+    /// Requests per second.
     pub requests: f64,
-    /// Seconds of reading that a second brings.
+    /// Seconds of prefill per second (offered prefill load in erlangs).
     pub prefill_load: f64,
-    /// Mean seconds of reading that a request finds under way at an engine that reads.
+    /// The mean remaining seconds of a prefill in progress that an arriving request finds.
     pub residual_prefill: f64,
-    /// Seconds that a request may wait and still be on time.
+    /// Seconds that a request may wait without missing its objective.
     pub slack: f64,
-    /// How many times more requests come late than a queue explains.
+    /// The ratio of observed late requests to those the queueing model predicts.
     pub late_factor: f64,
-    /// Seconds of a place that a second brings, at engines that read nothing else.
+    /// Slot seconds per second on engines with no other prefill (offered slot load in erlangs).
     pub slot_load: f64,
-    /// Places of an engine; 0 where that is not known.
+    /// Slots per engine; 0 if unknown.
     pub slots: f64,
 }
 
 impl ServiceLoad {
-    /// What `offered` asks of engines by `model`, at its peak. Nothing is taken to be cached: after
-    /// the loss of a data centre nothing is.
+    /// Converts the offered load at its peak to engine time. Assumes that no prompt prefix is cached, as is
+    /// the case after the loss of a data centre.
     ///
-    /// With `engines` serving, some requests come late by the model of a queue. More do: boxes choose by
-    /// old reports, load comes unevenly, and reading prompts holds up the streams beside it. As many
-    /// times more as are seen now are expected for other numbers of engines.
+    /// The queueing model predicts some late requests for the `engines` that serve now. Observed numbers are
+    /// higher: routing uses outdated load reports, load is uneven, and prefill stalls the concurrent
+    /// streams. The observed ratio is assumed to hold for other numbers of engines too.
     pub fn new(
         offered: &OfferedLoad,
         peak: f64,
@@ -185,11 +190,11 @@
             ..load
         };
         let expected = now.late_rate(engines) / now.requests;
-        let late_factor = (model.late / expected.max(1e-6)).clamp(1.0, TIMES_LIMIT);
+        let late_factor = (model.late / expected.max(1e-6)).clamp(1.0, MAX_LATE_FACTOR);
         Some(Self { late_factor, ..load })
     }
 
-    /// The load when so many times as much comes.
+    /// The load multiplied by `surge`.
     pub fn scaled(&self, surge: f64) -> Self {
         Self {
             requests: self.requests * surge,
@@ -199,7 +204,7 @@
         }
     }
 
-    /// Late requests a second with so many engines.
+    /// Late requests per second with this number of engines.
     pub fn late_rate(&self, engines: u32) -> f64 {
         let load = self.prefill_load / f64::from(engines.max(1));
         if load >= 1.0 {
@@ -210,8 +215,8 @@
         self.requests * (self.late_factor * late).min(1.0)
     }
 
-    /// The part of the requests that wait too long for a place, where engines go on with their streams for
-    /// the part `free` of their time.
+    /// The fraction of requests that wait too long for a slot, if engines spend the fraction `free` of their
+    /// time on decoding.
     fn slot_wait_fraction(&self, engines: u32, free: f64) -> f64 {
         if self.slots <= 0.0 || self.slot_load <= 0.0 {
             return 0.0;
@@ -225,96 +230,104 @@
         waits * (-self.slots * (1.0 - load) * self.slack / stay).exp()
     }
 
-    /// How many engines beside `there` cost the least, at `price` a second and with what late requests
-    /// weigh, in seconds of an engine at price 1. There are at most `most` in all.
+    /// The number of engines to add to `there` at the least total cost. `price` is per engine and second,
+    /// `weight` is the cost of a late request in seconds of an engine at price 1, and `most` bounds the
+    /// total.
     ///
-    /// While all requests come late, one engine more gains nothing, and many more may gain all. Beyond
-    /// that each gains less than the one before. So the least cost is at the smallest number or at the
-    /// first one there at which a further engine gains less than its price.
+    /// While all requests are late, one more engine may save nothing although many more would save a lot;
+    /// beyond that point each engine saves less than the one before. The minimum is therefore either the
+    /// smallest count or the first count after such a point at which one more engine saves less than its
+    /// price.
     pub fn cheapest_count(&self, there: u32, most: u32, price: f64, weight: f64) -> u32 {
-        let least = (self.prefill_load / FULL_LOAD).ceil().max(1.0) as u32;
+        let least = (self.prefill_load / MAX_PREFILL_LOAD).ceil().max(1.0) as u32;
         let least = least.min(most).max(there);
         let gain = |count| weight * (self.late_rate(count) - self.late_rate(count + 1));
         let cost = |count: &u32| price * f64::from(*count) + weight * self.late_rate(*count);
-        // Where nearly all wait for a place, the first engines gain little and the next ones much.
-        let ample = LATE_PARTS.map(|part| {
+        // If nearly all requests wait for a slot, the first engines save little and the next ones much.
+        let candidates = LATE_FRACTIONS.map(|part| {
             let helped = first(least, most, |count| self.late_rate(count) < part * self.requests);
             first(helped, most, |count| gain(count) <= price)
         });
-        let best = ample.into_iter().chain([least]).min_by(|a, b| cost(a).total_cmp(&cost(b)));
+        let best = candidates.into_iter().chain([least]).min_by(|a, b| cost(a).total_cmp(&cost(b)));
         best.unwrap_or(least) - there
     }
 
-    /// How many engines on demand cost the least beside `spots` reclaimable ones, over what may be left of
-    /// those once an engine ordered now serves. Of the `held` ones stay those that gain what a second of
-    /// theirs costs: that they had to boot is paid.
+    /// The cheapest number of on-demand engines in addition to `spots` spot engines, weighted over the spot
+    /// engines that may remain once an engine ordered now serves. Of the `held` on-demand engines, those
+    /// worth their running cost are kept, as their boot time is already paid for.
     pub fn on_demand_engines(&self, spots: u32, held: u32, market: &Market) -> u32 {
         let best = self.cheapest(spots, market.reserve_price(), market);
         if held <= best {
             return best;
         }
-        held.min(self.cheapest(spots, market.on_demand, market)).max(best)
+        held.min(self.cheapest(spots, market.on_demand_price, market)).max(best)
     }
 
     fn cheapest(&self, spots: u32, price: f64, market: &Market) -> u32 {
-        let most = market.most * market.places;
-        let least = ((self.prefill_load / FULL_LOAD).ceil().max(1.0) as u32).min(most);
+        let most = market.max_per_data_centre * market.data_centres;
+        let least = ((self.prefill_load / MAX_PREFILL_LOAD).ceil().max(1.0) as u32).min(most);
         let cases: Vec<_> = market.outlook.left_of(spots).collect();
         let cost = |count: &u32| {
             let late = cases.iter().map(|(left, chance)| chance * self.late_rate(left + count));
-            price * f64::from(*count) + market.late * late.sum::<f64>()
+            price * f64::from(*count) + market.late_cost * late.sum::<f64>()
         };
         cheapest(least.saturating_sub(spots), most.saturating_sub(spots), |count| cost(&count))
     }
 
-    /// How many reclaimable engines over all data centres cost the least, with what late requests cost
-    /// and what engines on demand cost while data centres have none. So many as are `held` stay where
-    /// that costs hardly more: each change has engines boot for nothing.
+    /// The cheapest number of spot engines over all data centres, given the cost of late requests and of
+    /// on-demand engines while data centres have no spot engines. Keeps `held` unless the saving is
+    /// significant: each change boots engines that serve nobody meanwhile.
     pub fn spot_engines(&self, market: &Market, held: u32) -> u32 {
-        let places = market.places.max(1);
-        // The loss of one data centre leaves what would be bought on demand.
-        let most = market.most * places;
-        let bare = self.cheapest_count(0, most, market.on_demand_price(), market.late);
-        let least = market.with_spare(bare).min(most);
+        let data_centres = market.data_centres.max(1);
+        // After the loss of one data centre, at least the number that would be bought on demand must
+        // remain.
+        let most = market.max_per_data_centre * data_centres;
+        let needed = self.cheapest_count(0, most, market.stand_in_price(), market.late_cost);
+        let least = market.with_spare(needed).min(most);
         let cost = |count| self.cost(count, market);
         let best = cheapest(least, most, cost);
         let gain = cost(held) - cost(best);
-        let stays =
-            (least..=most).contains(&held) && gain < KEEP_PART * market.spot * f64::from(held);
+        let stays = (least..=most).contains(&held)
+            && gain < MIN_SAVING * market.spot_price * f64::from(held);
         if stays { held } else { best }
     }
 
-    /// What a second costs with so many reclaimable engines, at the mean over absences.
+    /// The expected cost per second with this number of spot engines, averaged over the number of data
+    /// centres that have none.
     fn cost(&self, count: u32, market: &Market) -> f64 {
-        let places = market.places.max(1);
-        let Absence { share, length } = market.absence;
-        let uncovered = (market.boot / length.max(market.boot)).min(1.0);
-        let mut cost = f64::from(count) * market.spot;
-        let mut chance = (1.0 - share).powi(places as i32);
-        for away in 0..=places {
-            let there = count * (places - away) / places;
-            let most = market.most * places;
-            let bought = self.cheapest_count(there, most, market.on_demand_price(), market.late);
-            let covered =
-                f64::from(bought) * market.on_demand + market.late * self.late_rate(there + bought);
-            let late = match away {
+        let data_centres = market.data_centres.max(1);
+        let OutageStats { fraction, duration } = market.outages;
+        let uncovered = (market.boot_time / duration.max(market.boot_time)).min(1.0);
+        let mut cost = f64::from(count) * market.spot_price;
+        let mut chance = (1.0 - fraction).powi(data_centres as i32);
+        for lost in 0..=data_centres {
+            let there = count * (data_centres - lost) / data_centres;
+            let most = market.max_per_data_centre * data_centres;
+            let bought =
+                self.cheapest_count(there, most, market.stand_in_price(), market.late_cost);
+            let covered = f64::from(bought) * market.on_demand_price
+                + market.late_cost * self.late_rate(there + bought);
+            let late = match lost {
                 0 => covered,
-                _ => uncovered * market.late * self.late_rate(there) + (1.0 - uncovered) * covered,
+                _ => {
+                    uncovered * market.late_cost * self.late_rate(there)
+                        + (1.0 - uncovered) * covered
+                }
             };
             cost += chance * late;
-            let next = f64::from(places - away) / f64::from(away + 1);
-            chance *= next * share / (1.0 - share);
+            let next = f64::from(data_centres - lost) / f64::from(lost + 1);
+            chance *= next * fraction / (1.0 - fraction);
         }
         cost
     }
 }
 
-/// The number from `least` to `most` of the least cost. Of many numbers some are compared, spread evenly, and
-/// then ever closer ones around the best of them: what that takes hardly grows with a fleet.
+/// The count between `least` and `most` with the lowest cost. Samples the range evenly and then narrows it
+/// around the best sample, so the effort hardly grows with the fleet.
 fn cheapest(least: u32, most: u32, cost: impl Fn(u32) -> f64) -> u32 {
     let (mut low, mut high) = (least, most.max(least));
     loop {
-        let step = (high - low).div_ceil(COMPARED).max(1);
+        let step = (high - low).div_ceil(COUNTS_PER_PASS).max(1);
         let counts = (low..=high).step_by(step as usize).chain([high]);
         let costs = counts.map(|count| (count, cost(count)));
         let best = costs.min_by(|a, b| a.1.total_cmp(&b.1)).map_or(least, |(count, _)| count);
@@ -325,7 +338,7 @@
     }
 }
 
-/// The first number from `from` on that `holds`, which all after it do as well; else `to`.
+/// The first number from `from` for which `holds` is true, or `to`. `holds` must be monotonic.
 fn first(from: u32, to: u32, holds: impl Fn(u32) -> bool) -> u32 {
     let (mut low, mut high) = (from, to.max(from));
     while low < high {
@@ -338,78 +351,79 @@
     low
 }
 
-/// How data centres run out of reclaimable engines.
+/// How often and for how long a data centre has no spot engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Absence {
-    /// The part of the time that one has none.
-    pub share: f64,
-    /// Seconds that it then lasts.
-    pub length: f64,
+pub struct OutageStats {
+    /// The fraction of time without spot engines.
+    pub fraction: f64,
+    /// The mean duration of such a period, in seconds.
+    pub duration: f64,
 }
 
-/// What engines cost, and where they are to be had.
+/// Prices and availability of engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Market {
-    /// Data centres.
-    pub places: u32,
-    /// Engines at most in each.
-    pub most: u32,
-    /// The price of an engine on demand, a second.
-    pub on_demand: f64,
-    /// The price of a reclaimable one.
-    pub spot: f64,
-    /// What a late request weighs, in seconds of an engine at price 1.
-    pub late: f64,
-    /// How many times the peak of late may come before an engine has booted.
-    pub surge: f64,
-    /// Requests that an engine runs at the same time; 0 where that is not known.
+    /// The number of data centres.
+    pub data_centres: u32,
+    /// The maximum number of engines in each.
+    pub max_per_data_centre: u32,
+    /// The price of an on-demand engine per second.
+    pub on_demand_price: f64,
+    /// The price of a spot engine per second.
+    pub spot_price: f64,
+    /// The cost of a late request, in seconds of an engine at price 1.
+    pub late_cost: f64,
+    /// The factor by which load may exceed the recent peak before a new engine has booted.
+    pub surge_factor: f64,
+    /// Requests that an engine runs concurrently; 0 if unknown.
     pub slots: f64,
-    /// Seconds from an order to the engine's service.
-    pub boot: f64,
-    /// How often data centres have no reclaimable ones, and for how long.
-    pub absence: Absence,
-    /// Which of them may have none soon.
+    /// Seconds from an order until the engine serves.
+    pub boot_time: f64,
+    /// How often and for how long data centres have no spot engines.
+    pub outages: OutageStats,
+    /// Which data centres may soon have none.
     pub outlook: Outlook,
 }
 
 impl Market {
-    /// So many engines, and as many more as the loss of one data centre takes away.
+    /// Adds enough spare engines that `engines` remain after the loss of one data centre.
     pub fn with_spare(&self, engines: u32) -> u32 {
-        let places = self.places.max(1);
-        (engines * places).div_ceil((places - 1).max(1))
+        let data_centres = self.data_centres.max(1);
+        (engines * data_centres).div_ceil((data_centres - 1).max(1))
     }
 
-    /// Reclaimable engines while nothing is known of the load, where there were so many engines. What is
-    /// held beside those stands for variation, which grows with the root of a large number.
-    pub fn at_start(&self, engines: u32) -> u32 {
-        let spare = self.with_spare((f64::from(engines) * self.surge).ceil() as u32) - engines;
-        let part = (VARIED_ENGINES / f64::from(engines.max(1))).sqrt().min(1.0);
+    /// Spot engines to run while the load is unknown and `engines` engines ran at the start. The spare for
+    /// load variation grows with the square root of a large number.
+    pub fn initial_spot_engines(&self, engines: u32) -> u32 {
+        let spare =
+            self.with_spare((f64::from(engines) * self.surge_factor).ceil() as u32) - engines;
+        let part = (PROPORTIONAL_SPARE_LIMIT / f64::from(engines.max(1))).sqrt().min(1.0);
         engines + (f64::from(spare) * part).ceil() as u32
     }
 
-    /// The price of a second of service of an engine on demand that stands in during an absence: it is
-    /// paid from its order on, and until it has been given back.
-    pub fn on_demand_price(&self) -> f64 {
-        self.price_over(self.absence.length)
+    /// The price per second of useful service of an on-demand engine during a spot outage: it is paid from
+    /// its order until it is given back.
+    pub fn stand_in_price(&self) -> f64 {
+        self.price_over(self.outages.duration)
     }
 
-    /// The same for one that stands in for what may be lost: it stays from now until an absence ends.
+    /// The same for an engine ordered ahead of a possible loss: it is paid from now until the outage ends.
     fn reserve_price(&self) -> f64 {
-        self.price_over(self.outlook.calm + self.absence.length)
+        self.price_over(self.outlook.calm + self.outages.duration)
     }
 
-    fn price_over(&self, length: f64) -> f64 {
-        let idle = self.boot + RETURN_TIME;
-        self.on_demand * (1.0 + idle / length.max(1.0))
+    fn price_over(&self, duration: f64) -> f64 {
+        let idle = self.boot_time + HANDBACK_TIME;
+        self.on_demand_price * (1.0 + idle / duration.max(1.0))
     }
 }
 
-/// Engines up to which what is held for variation before any traffic grows with their number.
-const VARIED_ENGINES: f64 = 64.0;
+/// The number of engines up to which the spare before any traffic is proportional to their number.
+const PROPORTIONAL_SPARE_LIMIT: f64 = 64.0;
 
-/// The part of what reclaimable engines cost that a change of their number must gain.
-const KEEP_PART: f64 = 0.1;
+/// The fraction of the spot cost that a change of the spot count must save.
+const MIN_SAVING: f64 = 0.1;
 
-/// Seconds between the return of reclaimable engines and the end of those that stood in: they boot, are
-/// listed and are seen to serve.
-const RETURN_TIME: f64 = 3.0;
+/// Seconds from the return of spot engines until the on-demand engines that replaced them are given up: the
+/// spot engines must boot, be listed and be seen to serve.
+const HANDBACK_TIME: f64 = 3.0;
--- a/src/decide/hazard.rs
+++ b/src/decide/hazard.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::absence::{AbsenceLearner, Absences, Seen};
-use super::capacity::Absence;
+use super::capacity::OutageStats;
 use crate::ids::DataCentre;
 
 /// Seconds of one data centre, with none gone, in which one is taken to have been lost before anything was
@@ -215,7 +215,7 @@
     }
 
     /// How often data centres have none, and for how long.
-    pub fn absence(&self) -> Absence {
+    pub fn absence(&self) -> OutageStats {
         self.absences.absence()
     }
 
--- a/src/decide/spend.rs
+++ b/src/decide/spend.rs
@@ -102,7 +102,7 @@
         let bought = load.on_demand_engines(serving.spot, serving.on_demand, market);
         let bare = if bought > 0 { serving.spot + bought } else { 0 };
         let scarce = market.outlook.gone > 0;
-        let ample = load.scaled(market.surge).spot_engines(market, held);
+        let ample = load.scaled(market.surge_factor).spot_engines(market, held);
         Some(Need { ample, bare, traffic: true, scarce })
     }
 
@@ -132,7 +132,7 @@
         let peak = OfferedLoad::decayed_peak(calm.peak, self.at - calm.at);
         let load = ServiceLoad { late_factor: calm.times, ..load };
         let returning = load.late_rate(serving.total) / load.requests;
-        let expected = peak * (1.0 + (market.surge - 1.0) * returning);
+        let expected = peak * (1.0 + (market.surge_factor - 1.0) * returning);
         load.scaled((expected / self.peak).max(1.0))
     }
 }
--- a/tests/absence.rs
+++ b/tests/absence.rs
@@ -56,7 +56,7 @@
         let seen: Vec<_> = places.iter_mut().map(|it| (it.name.clone(), it.seen(*now))).collect();
         learner.look(*now, &seen);
         places.iter_mut().for_each(|it| it.ask(*now, learner));
-        lengths.push(learner.absence().length);
+        lengths.push(learner.absence().duration);
     }
     lengths
 }
@@ -74,7 +74,7 @@
             let until = now + length + 60.0;
             play(&mut learner, &mut places, &mut now, until);
         }
-        let learned = learner.absence().length;
+        let learned = learner.absence().duration;
         assert!((learned / length - 1.0).abs() < 0.15, "{learned} for {length}");
     }
 }
@@ -86,7 +86,7 @@
         (place.from, place.to) = (1.0, 14.0);
     }
     play(&mut learner, &mut places, &mut now, 40.0);
-    let before = learner.absence().length;
+    let before = learner.absence().duration;
     for place in &mut places {
         (place.from, place.to) = (41.0, 54.0);
     }
@@ -102,14 +102,14 @@
     places[0].from = 1.0;
     let lengths = play(&mut learner, &mut places, &mut now, 100.0);
     assert!(lengths.windows(2).all(|pair| pair[0] <= pair[1]));
-    let known = learner.absence().length;
+    let known = learner.absence().duration;
     assert!((70.0..100.0).contains(&known), "{known}");
 }
 
 #[test]
 fn share_of_the_time_is_learned_from_a_prior() {
     let (mut learner, mut places, mut now) = (AbsenceLearner::default(), four(), 0.0);
-    assert!(learner.absence().share < 0.15);
+    assert!(learner.absence().fraction < 0.15);
     for turn in 0..10 {
         for place in &mut places {
             place.from = f64::from(turn) * 100.0 + 1.0;
@@ -118,7 +118,7 @@
         play(&mut learner, &mut places, &mut now, f64::from(turn + 1) * 100.0);
     }
     let known = learner.absence();
-    assert!((0.25..0.34).contains(&known.share), "{known:?}");
+    assert!((0.25..0.34).contains(&known.fraction), "{known:?}");
 }
 
 #[test]
@@ -162,11 +162,11 @@
     learner.look(0.0, &[(a.clone(), Seen { serving: 6, ..Seen::default() })]);
     learner.look(1.0, &[(a.clone(), Seen { leaving: 6, ..Seen::default() })]);
     assert_eq!(learner.gone(), 1);
-    let before = learner.absence().length;
+    let before = learner.absence().duration;
     learner.record_unwanted(&a);
     assert_eq!(learner.gone(), 0);
     learner.look(1_000.0, &[(a.clone(), Seen::default())]);
-    assert_eq!(learner.absence().length, before, "nobody has seen how long it was");
+    assert_eq!(learner.absence().duration, before, "nobody has seen how long it was");
 }
 
 #[test]
--- a/tests/markets.rs
+++ b/tests/markets.rs
@@ -2,7 +2,7 @@
 //! ordered, against an oracle that knows the spells.
 
 use emberturn::decide::absence::Seen;
-use emberturn::decide::capacity::{Absence, Market, ServiceLoad};
+use emberturn::decide::capacity::{Market, OutageStats, ServiceLoad};
 use emberturn::decide::hazard::{DrySpells, Outlook};
 use emberturn::ids::DataCentre;
 use rand::rngs::SmallRng;
@@ -91,17 +91,17 @@
         Self { spells, notice, boot, until }
     }
 
-    fn market(&self, absence: Absence, outlook: Outlook) -> Market {
+    fn market(&self, absence: OutageStats, outlook: Outlook) -> Market {
         Market {
-            places: PLACES as u32,
-            most: 12,
-            on_demand: 1.0,
-            spot: 0.16,
-            late: 0.5,
-            surge: 1.0,
+            data_centres: PLACES as u32,
+            max_per_data_centre: 12,
+            on_demand_price: 1.0,
+            spot_price: 0.16,
+            late_cost: 0.5,
+            surge_factor: 1.0,
             slots: LOAD.slots,
-            boot: self.boot,
-            absence,
+            boot_time: self.boot,
+            outages: absence,
             outlook,
         }
     }
@@ -201,7 +201,7 @@
     /// where it gains more than that.
     fn least_cost(&self) -> f64 {
         let by_length = |length: f64| {
-            let absence = Absence { share: 0.1, length };
+            let absence = OutageStats { fraction: 0.1, duration: length };
             let market = self.market(absence, Outlook::calm(PLACES as u32));
             let mut held = 0;
             let mut cost = 0.0;
--- a/tests/spend.rs
+++ b/tests/spend.rs
@@ -1,6 +1,6 @@
 //! How many engines are ordered, of which kind, and where.
 
-use emberturn::decide::capacity::{Absence, Arrivals, Market, OfferedLoad, ServiceLoad};
+use emberturn::decide::capacity::{Arrivals, Market, OfferedLoad, OutageStats, ServiceLoad};
 use emberturn::decide::engine::{EngineLearner, EngineModel};
 use emberturn::decide::hazard::Outlook;
 use emberturn::decide::spend::{Bounds, Count, Demand, Need, Serving, Site, plan};
@@ -52,9 +52,9 @@
 fn reclaimable_engines_hold_the_bare_need_without_any_one_data_centre() {
     for times in [0.3, 1.0, 2.0] {
         let load = load(times, &MODEL);
-        let bare = load.cheapest_count(0, 1_000, MARKET.on_demand_price(), MARKET.late);
+        let bare = load.cheapest_count(0, 1_000, MARKET.stand_in_price(), MARKET.late_cost);
         for places in 2..=6 {
-            let market = Market { places, most: 100, ..MARKET };
+            let market = Market { data_centres: places, max_per_data_centre: 100, ..MARKET };
             let spots = load.spot_engines(&market, 0);
             let left = spots - spots.div_ceil(places);
             assert!(left >= bare, "{left} of {spots} left in {places} places, {bare} needed");
@@ -66,11 +66,20 @@
 fn spare_grows_with_what_absences_cost() {
     let load = load(1.0, &MODEL);
     let with = |share, length| {
-        load.spot_engines(&Market { most: 100, absence: Absence { share, length }, ..MARKET }, 0)
+        load.spot_engines(
+            &Market {
+                max_per_data_centre: 100,
+                outages: OutageStats { fraction: share, duration: length },
+                ..MARKET
+            },
+            0,
+        )
     };
     assert!(with(0.3, 12.0) > with(0.02, 12.0));
-    let dear = load.spot_engines(&Market { most: 100, spot: 0.6, ..MARKET }, 0);
-    let cheap = load.spot_engines(&Market { most: 100, spot: 0.05, ..MARKET }, 0);
+    let dear =
+        load.spot_engines(&Market { max_per_data_centre: 100, spot_price: 0.6, ..MARKET }, 0);
+    let cheap =
+        load.spot_engines(&Market { max_per_data_centre: 100, spot_price: 0.05, ..MARKET }, 0);
     assert!(cheap > dear, "{cheap} {dear}");
 }
 
@@ -183,15 +192,15 @@
 };
 
 const MARKET: Market = Market {
-    places: 4,
-    most: 10,
-    on_demand: 1.0,
-    spot: 0.15,
-    late: 0.5,
-    surge: 1.0,
+    data_centres: 4,
+    max_per_data_centre: 10,
+    on_demand_price: 1.0,
+    spot_price: 0.15,
+    late_cost: 0.5,
+    surge_factor: 1.0,
     slots: 0.0,
-    boot: 4.0,
-    absence: Absence { share: 0.1, length: 12.0 },
+    boot_time: 4.0,
+    outages: OutageStats { fraction: 0.1, duration: 12.0 },
     outlook: Outlook::calm(4),
 };
 
@@ -254,7 +263,8 @@
     let mut demand = Demand::default();
     demand.note(0.0, 0.0, offered(1.0));
     demand.need(0.0, 0.0, &model, &MARKET, all(30), 30).unwrap();
-    let gone = Market { surge: 1.5, outlook: Outlook { gone: 4, ..Outlook::calm(0) }, ..MARKET };
+    let gone =
+        Market { surge_factor: 1.5, outlook: Outlook { gone: 4, ..Outlook::calm(0) }, ..MARKET };
     let orders: Vec<u32> = (0..=8)
         .map(|look| {
             let passed = f64::from(look) * 0.5;
@@ -507,14 +517,16 @@
 
 #[test]
 fn what_is_held_before_any_traffic_is_a_smaller_part_of_a_larger_fleet() {
-    let market = Market { most: 10_000, places: 6, surge: 1.5, ..MARKET };
-    let over = |engines: u32| f64::from(market.at_start(engines)) / f64::from(engines) - 1.0;
+    let market =
+        Market { max_per_data_centre: 10_000, data_centres: 6, surge_factor: 1.5, ..MARKET };
+    let over =
+        |engines: u32| f64::from(market.initial_spot_engines(engines)) / f64::from(engines) - 1.0;
     // A few engines may all be needed, and those of one data centre lost.
     assert!(over(9) >= 0.7, "{}", over(9));
     assert!(over(60) >= 0.7, "{}", over(60));
     assert!(over(2_930) < 0.15, "{}", over(2_930));
     assert!(over(5_860) < over(2_930));
-    let counts: Vec<_> = (1..3_000).map(|engines| market.at_start(engines)).collect();
+    let counts: Vec<_> = (1..3_000).map(|engines| market.initial_spot_engines(engines)).collect();
     assert!(counts.is_sorted());
 }
 
@@ -534,7 +546,7 @@
 
 #[test]
 fn need_of_a_large_fleet_is_known_within_its_first_seconds() {
-    let market = Market { most: 10_000, places: 6, ..MARKET };
+    let market = Market { max_per_data_centre: 10_000, data_centres: 6, ..MARKET };
     let need_at = |calls: f64, at: f64, age: f64| {
         let mut demand = Demand::default();
         demand.note(0.0, age, rising(calls, 0.01));
@@ -556,8 +568,8 @@
     // Wherever numbers are compared that are spread, the best one costs as little as if all had been.
     for times in [1.0, 7.0, 40.0, 160.0] {
         let load = load(times, &MODEL);
-        let few = Market { most: 40, places: 6, ..MARKET };
-        let many = Market { most: 985, ..few };
+        let few = Market { max_per_data_centre: 40, data_centres: 6, ..MARKET };
+        let many = Market { max_per_data_centre: 985, ..few };
         let (all, spread) = (load.spot_engines(&few, 0), load.spot_engines(&many, 0));
         if all < 200 {
             assert_eq!(all, spread, "{times} times the load");
