--- a/src/control/spend.rs
+++ b/src/control/spend.rs
@@ -9,7 +9,10 @@
 use crate::decide::engine::EngineModel;
 use crate::decide::hazard::DrySpells;
 use crate::decide::orders::{OrderTracker, Place};
-use crate::decide::spend::{Bounds, Demand, Need, Plan, Serving, Site, plan};
+use crate::decide::spend::{
+    DataCentreEngines, DemandEstimator, EngineLimits, EnginePlan, EngineTarget, ServingEngines,
+    plan,
+};
 use crate::ids::{DataCentre, ServiceName};
 use crate::platform::client::Order;
 use crate::relay::list::Server;
@@ -32,11 +35,11 @@
 /// What the leader knows of its orders.
 #[derive(Debug, Default)]
 pub(crate) struct Spender {
-    demands: BTreeMap<ServiceName, Demand>,
+    demands: BTreeMap<ServiceName, DemandEstimator>,
     books: BTreeMap<ServiceName, OrderTracker>,
     spells: BTreeMap<ServiceName, DrySpells>,
     /// What was last said of the need.
-    said: BTreeMap<ServiceName, Need>,
+    said: BTreeMap<ServiceName, EngineTarget>,
     /// Engines on demand that there were before the first order.
     first: BTreeMap<ServiceName, u32>,
     /// The most engines on demand that were listed, and since when.
@@ -66,7 +69,7 @@
     /// on the mean have it.
     pub(crate) fn note(&mut self, now: f64, age: f64, sums: &BTreeMap<ServiceName, OfferedLoad>) {
         for (service, sum) in sums {
-            self.demands.entry(service.clone()).or_default().note(now, age, *sum);
+            self.demands.entry(service.clone()).or_default().record(now, age, *sum);
         }
     }
 
@@ -113,15 +116,15 @@
         self.note_spells(now, &service.name, scaling, &servers);
         let slots = mean_slots(&servers);
         let market = self.market(&service.name, scaling, slots);
-        let serving = Serving::of(&sites);
+        let serving = ServingEngines::of(&sites);
         let need = self.need(now, &service.name, listed, model, &market, serving);
         let settled = self.is_settled(&service.name, listed);
-        if need.ample == 0 {
+        if need.spot_target == 0 {
             return Vec::new();
         }
-        let bounds = Bounds {
-            least: scaling.least,
-            most: scaling.most,
+        let bounds = EngineLimits {
+            min: scaling.least,
+            max: scaling.most,
             has_spot: scaling.spot_price.is_some_and(|price| price < 1.0),
         };
         let plans = plan(&sites, need, bounds);
@@ -135,7 +138,7 @@
         for (plan, site) in plans.iter().filter_map(|it| Some((it, find(&sites, it)?))) {
             let wanted = [(true, plan.spot, site.spot), (false, plan.on_demand, site.on_demand)];
             for (spot, count, there) in wanted {
-                if !spot && !settled && !there.grows_to(count) {
+                if !spot && !settled && !there.is_exceeded_by(count) {
                     continue;
                 }
                 let place = Place { data_centre: plan.data_centre.clone(), spot };
@@ -169,15 +172,15 @@
         listed: u32,
         model: &EngineModel,
         market: &Market,
-        serving: Serving,
-    ) -> Need {
+        serving: ServingEngines,
+    ) -> EngineTarget {
         let demand = self.demands.entry(service.clone()).or_default();
         let wait = if self.knows_start { START_TIME } else { HEARD_TIME };
-        let held = self.said.get(service).map_or(0, |need| need.ample);
-        if let Some(need) = demand.need(now, wait, model, market, serving, held) {
+        let held = self.said.get(service).map_or(0, |need| need.spot_target);
+        if let Some(need) = demand.target(now, wait, model, market, serving, held) {
             if self.said.insert(service.clone(), need) != Some(need) {
                 tracing::info!(
-                    event = "engines_needed", %service, ample = need.ample, bare = need.bare,
+                    event = "engines_needed", %service, ample = need.spot_target, bare = need.min_total,
                     tokens = demand.peak() as u64, rate = model.rate as u64,
                     base_ms = (model.base * 1_000.0) as u64, wait_ms = (model.wait * 1_000.0) as u64, late = model.late,
                     pace_ms = (model.pace * 1_000.0) as u64, events = model.events,
@@ -189,21 +192,21 @@
             return need;
         }
         if !self.knows_start {
-            return Need::default();
+            return EngineTarget::default();
         }
         let first = self.first.entry(service.clone()).or_insert(0);
         *first = (*first).max(listed);
         match demand.is_seen() {
-            true => Need {
-                ample: market.initial_spot_engines(*first),
-                bare: *first,
-                traffic: true,
-                ..Need::default()
+            true => EngineTarget {
+                spot_target: market.initial_spot_engines(*first),
+                min_total: *first,
+                has_traffic: true,
+                ..EngineTarget::default()
             },
-            false => Need {
-                ample: market.initial_spot_engines(*first),
-                bare: first.div_ceil(FIRST_PART),
-                ..Need::default()
+            false => EngineTarget {
+                spot_target: market.initial_spot_engines(*first),
+                min_total: first.div_ceil(FIRST_PART),
+                ..EngineTarget::default()
             },
         }
     }
@@ -214,7 +217,7 @@
         service: &ServiceName,
         scaling: &Scaling,
         servers: &[&Server],
-    ) -> Vec<Site> {
+    ) -> Vec<DataCentreEngines> {
         let boot = scaling.boot_time.as_secs_f64();
         let book = self.books.entry(service.clone()).or_default();
         let sites = scaling.prices.iter().map(|(data_centre, price)| {
@@ -225,7 +228,7 @@
                 let place = Place { data_centre: data_centre.clone(), spot };
                 book.count(now, &place, serving as u32, boot)
             };
-            Site {
+            DataCentreEngines {
                 data_centre: data_centre.clone(),
                 price: *price,
                 spot: count(true, spot.len()),
@@ -322,6 +325,6 @@
     sum / servers.len().max(1) as f64
 }
 
-fn find<'a>(sites: &'a [Site], plan: &Plan) -> Option<&'a Site> {
+fn find<'a>(sites: &'a [DataCentreEngines], plan: &EnginePlan) -> Option<&'a DataCentreEngines> {
     sites.iter().find(|site| site.data_centre == plan.data_centre)
 }
--- a/src/decide/orders.rs
+++ b/src/decide/orders.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use super::spend::Count;
+use super::spend::EngineCount;
 use crate::ids::DataCentre;
 
 /// How long a refusal is taken to hold, in seconds: reclaimable engines come back after several, and each
@@ -85,22 +85,29 @@
 
     /// What serves, and what is coming: an order stands for itself, less what was lost since, until the list
     /// must show it, `boot` seconds and a lag later.
-    pub fn count(&mut self, now: f64, place: &Place, serving: u32, boot: f64) -> Count {
+    pub fn count(&mut self, now: f64, place: &Place, serving: u32, boot: f64) -> EngineCount {
         let Some(placed) = self.placed.get_mut(place) else {
-            return Count { serving, coming: serving };
+            return EngineCount { serving, expected: serving };
         };
         placed.look(serving);
         if placed.is_void(place.spot) {
             self.placed.remove(place);
-            return Count { serving, coming: serving };
+            return EngineCount { serving, expected: serving };
         }
         let stands = now - placed.at < boot + LAG_TIME;
         let coming = if stands { placed.count.saturating_sub(placed.lost) } else { serving };
-        Count { serving, coming }
+        EngineCount { serving, expected: coming }
     }
 
     /// Whether an order is due: the count is not what was ordered last, or shows no effect for long.
-    pub fn is_due(&self, now: f64, place: &Place, count: u32, there: Count, boot: f64) -> bool {
+    pub fn is_due(
+        &self,
+        now: f64,
+        place: &Place,
+        count: u32,
+        there: EngineCount,
+        boot: f64,
+    ) -> bool {
         if self.refused_for(now, place).is_some_and(|passed| passed < REFUSED_TIME) {
             return false;
         }
--- a/src/decide/spend.rs
+++ b/src/decide/spend.rs
@@ -1,11 +1,11 @@
-//! How many engines a service is to have, where, and of which kind.
+//! Decides how many engines each service runs, in which data centres, and how many of them are spot.
 //!
-//! Reclaimable engines cost a fraction of those on demand, and all of a data centre's may go at once
-//! on short notice. So what is needed is held in reclaimable engines over all data centres, with as
-//! many more as the loss of one data centre takes away; engines on demand stand in for what cannot be
-//! had otherwise, and go again once reclaimable ones serve.
+//! Spot engines cost a fraction of on-demand engines, but the platform may reclaim all of a data centre's at
+//! once on short notice. The target is therefore met with spot engines in all data centres, plus enough
+//! spare ones to survive the loss of one data centre. On-demand engines fill the gap when spot engines are
+//! unavailable, and are given up once spot engines serve again.
 //!
-//! Pure: what is listed, offered and refused goes in, counts come out.
+//! This module does no I/O: it takes listings, offered load and refusals, and returns engine counts.
 
 use std::cmp::Ordering;
 
@@ -13,104 +13,109 @@
 use super::engine::EngineModel;
 use crate::ids::DataCentre;
 
-/// Of the places in a data centre, one in so many is left to reclaimable engines.
-const SWAP_PART: u32 = 4;
+/// The divisor of the engine limit of a data centre that gives the part kept free for spot engines.
+const SWAP_DIVISOR: u32 = 4;
 
-/// The part of the boxes' peaks, summed, that stands for the peak of their sum.
-const PEAK_PART: f64 = 0.8;
+/// The factor from the sum of the relays' peaks to the peak of their sum.
+const PEAK_SUM_FACTOR: f64 = 0.8;
 
-/// Requests in the mean of what is offered from which on its rate is known within a twentieth.
-const ENOUGH_CALLS: f64 = 400.0;
+/// Averaged requests above which the request rate is known to within 5%.
+const MIN_EXTRAPOLATION_REQUESTS: f64 = 400.0;
 
-/// Seconds of traffic that boxes have reported, before their mean says something of more than a clump.
-const LEAST_SEEN: f64 = 1.0;
+/// Seconds of traffic the reports must cover. A shorter mean may reflect a single burst.
+const MIN_REPORTED_TIME: f64 = 1.0;
 
-/// What a load was like before a data centre was gone.
+/// The load before a data centre lost its spot engines.
 #[derive(Debug, Clone, Copy)]
-struct Calm {
-    /// The highest prompt tokens a second of late.
+struct BaselineLoad {
+    /// The recent peak of prompt tokens per second.
     peak: f64,
-    /// How many times more came late than a queue explains.
-    times: f64,
-    /// When that was, in seconds.
+    /// The ratio of observed late requests to those the queueing model predicts.
+    late_factor: f64,
+    /// When it was recorded, in seconds.
     at: f64,
 }
 
-/// What a service is offered over all boxes.
+/// Estimates the load offered to a service over all relays.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Demand {
+pub struct DemandEstimator {
     offered: OfferedLoad,
     peak: f64,
     at: f64,
-    /// Seconds since the boxes' reports, on the mean.
+    /// The mean age of the relays' reports, in seconds.
     age: f64,
-    first: Option<f64>,
-    /// The peak, and how many times more come late than a queue explains, before data centres were gone.
-    calm: Option<Calm>,
+    first_traffic: Option<f64>,
+    /// The peak and late factor from before any data centre lost its spot engines.
+    baseline: Option<BaselineLoad>,
 }
 
-impl Demand {
-    /// Takes the sum of what the boxes report, at `now` in seconds; their reports are `age` seconds old on
-    /// the mean.
+impl DemandEstimator {
+    /// Records the sum of the relays' reports at `now` in seconds. The reports are `age` seconds old on
+    /// average.
     ///
-    /// Their peaks come at different times, so a part of the sum stands for the peak of the sum; a new
-    /// leader has nothing else to go by.
-    pub fn note(&mut self, now: f64, age: f64, sum: OfferedLoad) {
+    /// The relays' peaks do not coincide, so a new leader, which has no peak of its own yet, starts from a
+    /// fraction of their sum.
+    pub fn record(&mut self, now: f64, age: f64, sum: OfferedLoad) {
         self.age = age;
         let faded = OfferedLoad::decayed_peak(self.peak, now - self.at);
-        let told = if self.first.is_none() { sum.peak * PEAK_PART } else { 0.0 };
+        let told = if self.first_traffic.is_none() { sum.peak * PEAK_SUM_FACTOR } else { 0.0 };
         self.peak = faded.max(told).max(sum.prompt_tokens);
         self.offered = sum;
         self.at = now;
-        if sum.prompt_tokens > 0.0 && self.first.is_none() {
-            self.first = Some(now);
+        if sum.prompt_tokens > 0.0 && self.first_traffic.is_none() {
+            self.first_traffic = Some(now);
         }
     }
 
-    /// The highest prompt tokens a second of late.
+    /// The recent peak of prompt tokens per second.
     pub fn peak(&self) -> f64 {
         self.peak
     }
 
-    /// Whether any traffic was seen.
+    /// Whether any traffic was reported.
     pub fn is_seen(&self) -> bool {
-        self.first.is_some()
+        self.first_traffic.is_some()
     }
 
-    /// How many engines what is offered is worth, with `serving` reclaimable ones, where `held` were
-    /// wanted before; `None` for `wait`
-    /// seconds after the first traffic, and while nothing is known of the engines.
-    pub fn need(
+    /// Computes the target from the offered load, the engines that serve and the previous spot target
+    /// `held`.
+    ///
+    /// Returns `None` until `wait` seconds after the first traffic, unless the load is high enough to
+    /// extrapolate, and while nothing is known about the engines.
+    pub fn target(
         &mut self,
         now: f64,
         wait: f64,
         model: &EngineModel,
         market: &Market,
-        serving: Serving,
+        serving: ServingEngines,
         held: u32,
-    ) -> Option<Need> {
-        let seen = now - self.first?;
+    ) -> Option<EngineTarget> {
+        let seen = now - self.first_traffic?;
         if !model.is_learned() {
             return None;
         }
         let (offered, peak) = match seen < wait {
-            true => self.early(seen)?,
+            true => self.extrapolated(seen)?,
             false => (self.offered, self.peak),
         };
         let load = ServiceLoad::new(&offered, peak, model, serving.total, market.slots)?;
-        let load = self.as_in_calm(load, market, serving);
+        let load = self.adjust_for_outage(load, market, serving);
         let bought = load.on_demand_engines(serving.spot, serving.on_demand, market);
-        let bare = if bought > 0 { serving.spot + bought } else { 0 };
-        let scarce = market.outlook.gone > 0;
-        let ample = load.scaled(market.surge_factor).spot_engines(market, held);
-        Some(Need { ample, bare, traffic: true, scarce })
+        let min_total = if bought > 0 { serving.spot + bought } else { 0 };
+        let keep_spot = market.outlook.gone > 0;
+        let spot_target = load.scaled(market.surge_factor).spot_engines(market, held);
+        Some(EngineTarget { spot_target, min_total, has_traffic: true, keep_spot })
     }
 
-    /// What is offered and its peak `seen` seconds after the first traffic, where so many requests came that
-    /// their rate is known. The means begin at nothing; what they lack yet is made up for.
-    fn early(&self, seen: f64) -> Option<(OfferedLoad, f64)> {
+    /// Extrapolates the load and its peak `seen` seconds after the first traffic, if enough requests arrived
+    /// for their rate to be known. The averages start at zero, so they are scaled up by what they still
+    /// lack.
+    fn extrapolated(&self, seen: f64) -> Option<(OfferedLoad, f64)> {
         let told = seen - self.age;
-        if told < LEAST_SEEN || self.offered.requests * MEAN_TIME < ENOUGH_CALLS {
+        if told < MIN_REPORTED_TIME
+            || self.offered.requests * MEAN_TIME < MIN_EXTRAPOLATION_REQUESTS
+        {
             return None;
         }
         let part = 1.0 - (-told / MEAN_TIME).exp();
@@ -118,177 +123,196 @@
         Some((offered, offered.prompt_tokens.max(self.peak)))
     }
 
-    /// What a load is to be met with while data centres are gone. Few requests are served then, which
-    /// teaches nothing, and those that can't be come back before an engine has booted: the gap is ordered as
-    /// a whole, not step by step as they do.
-    fn as_in_calm(&mut self, load: ServiceLoad, market: &Market, serving: Serving) -> ServiceLoad {
+    /// Adjusts the load for the time in which data centres have no spot engines.
+    ///
+    /// Few requests are served then, so there is little to learn from, and rejected callers retry before a
+    /// new engine has booted. The whole gap is ordered at once instead of following the retries step by
+    /// step.
+    fn adjust_for_outage(
+        &mut self,
+        load: ServiceLoad,
+        market: &Market,
+        serving: ServingEngines,
+    ) -> ServiceLoad {
         if market.outlook.gone == 0 {
-            self.calm = Some(Calm { peak: self.peak, times: load.late_factor, at: self.at });
+            self.baseline =
+                Some(BaselineLoad { peak: self.peak, late_factor: load.late_factor, at: self.at });
             return load;
         }
-        let Some(calm) = self.calm else {
+        let Some(baseline) = self.baseline else {
             return load;
         };
-        let peak = OfferedLoad::decayed_peak(calm.peak, self.at - calm.at);
-        let load = ServiceLoad { late_factor: calm.times, ..load };
+        let peak = OfferedLoad::decayed_peak(baseline.peak, self.at - baseline.at);
+        let load = ServiceLoad { late_factor: baseline.late_factor, ..load };
         let returning = load.late_rate(serving.total) / load.requests;
         let expected = peak * (1.0 + (market.surge_factor - 1.0) * returning);
         load.scaled((expected / self.peak).max(1.0))
     }
 }
 
-/// Engines of a service that serve, over all data centres.
+/// The engines of a service that serve, over all data centres.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Serving {
-    /// Reclaimable ones.
+pub struct ServingEngines {
+    /// Spot engines.
     pub spot: u32,
-    /// Both kinds.
+    /// Engines of both kinds.
     pub total: u32,
-    /// Engines on demand that serve or boot.
+    /// On-demand engines that serve or boot.
     pub on_demand: u32,
 }
 
-impl Serving {
-    /// Those of all data centres. What boots does not count: engines on demand stand in until
-    /// reclaimable ones serve.
-    pub fn of(sites: &[Site]) -> Self {
-        let spot = sites.iter().map(|site| site.spot.serving).sum();
-        let on_demand: u32 = sites.iter().map(|site| site.on_demand.serving).sum();
-        let coming = sites.iter().map(|site| site.on_demand.coming).sum();
-        Self { spot, total: spot + on_demand, on_demand: coming }
+impl ServingEngines {
+    /// Sums all data centres. Booting spot engines do not count: on-demand engines are kept until the spot
+    /// engines serve.
+    pub fn of(data_centres: &[DataCentreEngines]) -> Self {
+        let spot = data_centres.iter().map(|engines| engines.spot.serving).sum();
+        let on_demand: u32 = data_centres.iter().map(|engines| engines.on_demand.serving).sum();
+        let expected = data_centres.iter().map(|engines| engines.on_demand.expected).sum();
+        Self { spot, total: spot + on_demand, on_demand: expected }
     }
 }
 
 /// Engines of one kind in one data centre.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Count {
-    /// That serve and do not leave.
+pub struct EngineCount {
+    /// Engines that serve and are not leaving.
     pub serving: u32,
-    /// That serve or boot: the platform took the order for them not long ago.
-    pub coming: u32,
+    /// Engines that serve or boot, including those of recent orders that the platform accepted.
+    pub expected: u32,
 }
 
-impl Count {
-    /// Whether `count` is more than there is and comes. Only fewer engines need a list that has stopped
-    /// growing: in a dry spell each engine on demand that is listed makes it grow, and orders for more that
-    /// waited for its end came 7 s late.
-    pub fn grows_to(self, count: u32) -> bool {
-        count > self.serving.max(self.coming)
+impl EngineCount {
+    /// Whether `count` exceeds the engines that serve or are expected.
+    ///
+    /// Only orders for fewer engines must wait until the list has stopped growing. While spot engines are
+    /// unavailable, each listed on-demand engine makes the list grow, and orders for more engines that
+    /// waited for it to settle came 7 s late.
+    pub fn is_exceeded_by(self, count: u32) -> bool {
+        count > self.serving.max(self.expected)
     }
 }
 
-/// One data centre as it stands.
+/// The engines in one data centre.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Site {
+pub struct DataCentreEngines {
     /// The data centre.
     pub data_centre: DataCentre,
-    /// What an engine on demand costs there.
+    /// The price of an on-demand engine there.
     pub price: f64,
-    /// Reclaimable engines.
-    pub spot: Count,
-    /// Engines on demand.
-    pub on_demand: Count,
+    /// Spot engines.
+    pub spot: EngineCount,
+    /// On-demand engines.
+    pub on_demand: EngineCount,
 }
 
-/// How many engines are needed over all data centres.
+/// The number of engines needed over all data centres.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Need {
-    /// Reclaimable ones, with what is spare for the loss of a data centre.
-    pub ample: u32,
-    /// Of both kinds, where reclaimable ones are too few; else 0.
-    pub bare: u32,
-    /// Whether there is traffic. Without, engines that boot are as good as those that serve.
-    pub traffic: bool,
-    /// Whether data centres have no reclaimable engines. Nowhere are any given up then: those that are left
-    /// may be lost next, and can't be had again.
-    pub scarce: bool,
+pub struct EngineTarget {
+    /// Spot engines, including the spare ones for the loss of a data centre.
+    pub spot_target: u32,
+    /// Engines of both kinds to keep if there are too few spot engines; 0 if there are enough.
+    pub min_total: u32,
+    /// Whether there is traffic. Without traffic, booting engines count like serving ones.
+    pub has_traffic: bool,
+    /// Whether data centres have no spot engines. No spot engines are given up anywhere then: the remaining
+    /// ones may be lost next and cannot be replaced.
+    pub keep_spot: bool,
 }
 
-/// What a data centre is to have.
+/// The number of engines that a data centre should have.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Plan {
+pub struct EnginePlan {
     /// The data centre.
     pub data_centre: DataCentre,
-    /// Reclaimable engines.
+    /// Spot engines.
     pub spot: u32,
-    /// Engines on demand.
+    /// On-demand engines.
     pub on_demand: u32,
 }
 
-/// The limits of each data centre.
+/// The limits that apply to each data centre.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bounds {
-    /// Engines of both kinds at least.
-    pub least: u32,
-    /// Engines of both kinds at most.
-    pub most: u32,
-    /// Whether there are reclaimable engines at all.
+pub struct EngineLimits {
+    /// The minimum of engines of both kinds.
+    pub min: u32,
+    /// The maximum of engines of both kinds.
+    pub max: u32,
+    /// Whether spot engines are offered at all.
     pub has_spot: bool,
 }
 
-/// What each data centre is to have.
-pub fn plan(sites: &[Site], need: Need, bounds: Bounds) -> Vec<Plan> {
-    let mut order: Vec<&Site> = sites.iter().collect();
+/// Distributes the target over the data centres.
+pub fn plan(
+    data_centres: &[DataCentreEngines],
+    target: EngineTarget,
+    limits: EngineLimits,
+) -> Vec<EnginePlan> {
+    let mut order: Vec<&DataCentreEngines> = data_centres.iter().collect();
     order.sort_by(|a, b| compare(a, b));
-    let mut spots = plan_spots(order.len(), need.ample, bounds);
-    if need.scarce {
-        let held = order.iter().map(|site| site.spot.coming.min(bounds.most));
+    let mut spots = plan_spots(order.len(), target.spot_target, limits);
+    if target.keep_spot {
+        let held = order.iter().map(|engines| engines.spot.expected.min(limits.max));
         spots.iter_mut().zip(held).for_each(|(spot, held)| *spot = held.max(*spot));
     }
-    let coming: u32 =
-        order.iter().zip(&spots).map(|(site, spot)| site.spot.coming.min(*spot)).sum();
-    let serving = match need.traffic {
-        true => sites.iter().map(|site| site.spot.serving).sum(),
-        false => coming.saturating_sub(need.bare),
+    let expected: u32 =
+        order.iter().zip(&spots).map(|(engines, spot)| engines.spot.expected.min(*spot)).sum();
+    let serving = match target.has_traffic {
+        true => data_centres.iter().map(|engines| engines.spot.serving).sum(),
+        false => expected.saturating_sub(target.min_total),
     };
-    let held: u32 = sites.iter().map(|site| site.on_demand.coming).sum();
-    // Up only for what reclaimable engines will not cover, down only once those serve.
-    let up = need.bare.saturating_sub(coming);
-    let down = need.bare.saturating_sub(serving).max(up);
-    let on_demand = plan_on_demand(&order, &spots, held.clamp(up, down), bounds);
+    let held: u32 = data_centres.iter().map(|engines| engines.on_demand.expected).sum();
+    // Add on-demand engines only for what spot engines will not cover, and remove them only once spot
+    // engines serve.
+    let up = target.min_total.saturating_sub(expected);
+    let down = target.min_total.saturating_sub(serving).max(up);
+    let on_demand = plan_on_demand(&order, &spots, held.clamp(up, down), limits);
     let plans = order.iter().zip(spots).zip(on_demand);
     plans
-        .map(|((site, spot), on_demand)| Plan {
-            data_centre: site.data_centre.clone(),
-            spot: spot.min(bounds.most.saturating_sub(on_demand)),
+        .map(|((engines, spot), on_demand)| EnginePlan {
+            data_centre: engines.data_centre.clone(),
+            spot: spot.min(limits.max.saturating_sub(on_demand)),
             on_demand,
         })
         .collect()
 }
 
-fn compare(a: &Site, b: &Site) -> Ordering {
+fn compare(a: &DataCentreEngines, b: &DataCentreEngines) -> Ordering {
     a.price.total_cmp(&b.price).then_with(|| a.data_centre.cmp(&b.data_centre))
 }
 
-/// Reclaimable engines by data centre, the cheapest first: evenly, so that the loss of one takes the
-/// least.
-fn plan_spots(sites: usize, need: u32, bounds: Bounds) -> Vec<u32> {
-    if !bounds.has_spot || sites == 0 {
-        return vec![0; sites];
+/// Distributes spot engines evenly over the data centres, so that losing one costs the least. The cheapest
+/// data centre comes first and gets the remainder.
+fn plan_spots(data_centres: usize, target: u32, limits: EngineLimits) -> Vec<u32> {
+    if !limits.has_spot || data_centres == 0 {
+        return vec![0; data_centres];
     }
-    let count = sites as u32;
-    let mut total = need;
-    let mut spots = Vec::with_capacity(sites);
+    let count = data_centres as u32;
+    let mut total = target;
+    let mut spots = Vec::with_capacity(data_centres);
     for left in (1..=count).rev() {
-        let part = total.div_ceil(left).clamp(bounds.least, bounds.most);
+        let part = total.div_ceil(left).clamp(limits.min, limits.max);
         total = total.saturating_sub(part);
         spots.push(part);
     }
     spots
 }
 
-/// Engines on demand by data centre: what is there stays first, then the cheapest.
-fn plan_on_demand(order: &[&Site], spots: &[u32], total: u32, bounds: Bounds) -> Vec<u32> {
-    // Engines on demand leave some places free, so that reclaimable ones can take over step by step.
-    let free = bounds.most.div_ceil(SWAP_PART).min(bounds.most.saturating_sub(bounds.least));
+/// Distributes on-demand engines: existing ones stay first, then the cheapest data centres get the rest.
+fn plan_on_demand(
+    order: &[&DataCentreEngines],
+    spots: &[u32],
+    total: u32,
+    limits: EngineLimits,
+) -> Vec<u32> {
+    // Leave room for spot engines, so that they can replace the on-demand engines step by step.
+    let free = limits.max.div_ceil(SWAP_DIVISOR).min(limits.max.saturating_sub(limits.min));
     let kept = |place: usize| if spots[place] > 0 { free } else { 0 };
-    let room =
-        |place: usize| bounds.most.saturating_sub(order[place].spot.serving.max(kept(place)));
-    let least = |place: usize| bounds.least.saturating_sub(spots[place]);
+    let room = |place: usize| limits.max.saturating_sub(order[place].spot.serving.max(kept(place)));
+    let least = |place: usize| limits.min.saturating_sub(spots[place]);
     let mut counts: Vec<u32> = (0..order.len())
         .map(|place| {
             let least = least(place);
-            order[place].on_demand.coming.max(least).min(room(place).max(least))
+            order[place].on_demand.expected.max(least).min(room(place).max(least))
         })
         .collect();
     for place in (0..order.len()).rev() {
--- a/tests/names.rs
+++ b/tests/names.rs
@@ -14,7 +14,7 @@
 const DONE: [&str; 3] = ["src/control", "src/decide", "src/relay"];
 
 /// Type names that still stand for two things, each to go.
-const DOUBLED: [&str; 16] = [
+const DOUBLED: [&str; 15] = [
     "Action",
     "Arguments",
     "Call",
@@ -26,7 +26,6 @@
     "Load",
     "Need",
     "Phase",
-    "Plan",
     "Reader",
     "Role",
     "Service",
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,7 +1,7 @@
 //! What orders for engines stand for, and when the next one is due.
 
 use emberturn::decide::orders::{OrderTracker, Place};
-use emberturn::decide::spend::Count;
+use emberturn::decide::spend::EngineCount;
 
 const BOOT: f64 = 4.0;
 
@@ -16,7 +16,10 @@
 /// What is coming at each reading of a list that shows `serving` engines, one reading a second.
 fn coming(book: &mut OrderTracker, place: &Place, from: f64, serving: &[u32]) -> Vec<u32> {
     let times = (0..).map(|second| from + f64::from(second));
-    times.zip(serving).map(|(now, serving)| book.count(now, place, *serving, BOOT).coming).collect()
+    times
+        .zip(serving)
+        .map(|(now, serving)| book.count(now, place, *serving, BOOT).expected)
+        .collect()
 }
 
 #[test]
@@ -38,7 +41,7 @@
     book.record_order(10.0, spot(), 6);
     assert_eq!(coming(&mut book, &spot(), 10.0, &[10, 10, 6, 0]), [6, 6, 6, 0]);
     // It is due again at once: nothing is under way.
-    assert!(book.is_due(13.0, &spot(), 6, Count::default(), BOOT));
+    assert!(book.is_due(13.0, &spot(), 6, EngineCount::default(), BOOT));
 }
 
 #[test]
--- a/tests/spend.rs
+++ b/tests/spend.rs
@@ -3,22 +3,25 @@
 use emberturn::decide::capacity::{Arrivals, Market, OfferedLoad, OutageStats, ServiceLoad};
 use emberturn::decide::engine::{EngineLearner, EngineModel};
 use emberturn::decide::hazard::Outlook;
-use emberturn::decide::spend::{Bounds, Count, Demand, Need, Serving, Site, plan};
+use emberturn::decide::spend::{
+    DataCentreEngines, DemandEstimator, EngineCount, EngineLimits, EngineTarget, ServingEngines,
+    plan,
+};
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-const BOUNDS: Bounds = Bounds { least: 1, most: 6, has_spot: true };
+const BOUNDS: EngineLimits = EngineLimits { min: 1, max: 6, has_spot: true };
 
-fn count(serving: u32) -> Count {
-    Count { serving, coming: serving }
+fn count(serving: u32) -> EngineCount {
+    EngineCount { serving, expected: serving }
 }
 
-fn sites(spot: [u32; 4], on_demand: [u32; 4]) -> Vec<Site> {
+fn sites(spot: [u32; 4], on_demand: [u32; 4]) -> Vec<DataCentreEngines> {
     let prices = [1.0, 0.8, 1.25, 0.9];
     let names = ["a", "b", "c", "d"];
     (0..4)
-        .map(|place| Site {
+        .map(|place| DataCentreEngines {
             data_centre: names[place].parse().unwrap(),
             price: prices[place],
             spot: count(spot[place]),
@@ -27,11 +30,11 @@
         .collect()
 }
 
-fn need(ample: u32, bare: u32) -> Need {
-    Need { ample, bare, traffic: true, scarce: false }
+fn need(ample: u32, bare: u32) -> EngineTarget {
+    EngineTarget { spot_target: ample, min_total: bare, has_traffic: true, keep_spot: false }
 }
 
-fn totals(sites: &[Site], need: Need) -> (u32, u32) {
+fn totals(sites: &[DataCentreEngines], need: EngineTarget) -> (u32, u32) {
     let plans = plan(sites, need, BOUNDS);
     (plans.iter().map(|it| it.spot).sum(), plans.iter().map(|it| it.on_demand).sum())
 }
@@ -112,7 +115,7 @@
     assert_eq!(totals(&sites([0; 4], [3, 2, 2, 2]), need(12, 9)), (12, 9));
     // They boot: still there.
     let mut booting = sites([0; 4], [3, 2, 2, 2]);
-    booting.iter_mut().for_each(|site| site.spot.coming = 3);
+    booting.iter_mut().for_each(|site| site.spot.expected = 3);
     assert_eq!(totals(&booting, need(12, 9)).1, 9);
     // They serve.
     assert_eq!(totals(&sites([3; 4], [3, 2, 2, 2]), need(12, 9)), (12, 0));
@@ -120,15 +123,16 @@
 
 #[test]
 fn engines_that_boot_take_none_on_demand_away() {
-    let mut demand = Demand::default();
-    demand.note(0.0, 0.0, offered(1.0));
+    let mut demand = DemandEstimator::default();
+    demand.record(0.0, 0.0, offered(1.0));
     let mut sites = sites([0; 4], [3; 4]);
-    sites.iter_mut().for_each(|site| site.spot.coming = 6);
-    let need = demand.need(0.0, 0.0, &MODEL, &MARKET, Serving::of(&sites), 24).unwrap();
-    let bounds = Bounds { most: 12, ..BOUNDS };
-    let kept =
-        |sites: &[Site]| plan(sites, need, bounds).iter().map(|it| it.on_demand).sum::<u32>();
-    assert!(need.bare > 0 && kept(&sites) == need.bare.min(12), "{need:?}");
+    sites.iter_mut().for_each(|site| site.spot.expected = 6);
+    let need = demand.target(0.0, 0.0, &MODEL, &MARKET, ServingEngines::of(&sites), 24).unwrap();
+    let bounds = EngineLimits { max: 12, ..BOUNDS };
+    let kept = |sites: &[DataCentreEngines]| {
+        plan(sites, need, bounds).iter().map(|it| it.on_demand).sum::<u32>()
+    };
+    assert!(need.min_total > 0 && kept(&sites) == need.min_total.min(12), "{need:?}");
     // None is ordered anew for what boots already.
     sites.iter_mut().for_each(|site| site.on_demand = count(0));
     assert_eq!(kept(&sites), 0);
@@ -137,8 +141,8 @@
 #[test]
 fn more_engines_are_ordered_while_the_list_still_grows() {
     // Four serve and two boot: the list shows one more in each reading.
-    let there = Count { serving: 4, coming: 6 };
-    let grows: Vec<_> = (0..10).map(|count| there.grows_to(count)).collect();
+    let there = EngineCount { serving: 4, expected: 6 };
+    let grows: Vec<_> = (0..10).map(|count| there.is_exceeded_by(count)).collect();
     assert_eq!(grows, [false, false, false, false, false, false, false, true, true, true]);
 }
 
@@ -167,7 +171,7 @@
 
 #[test]
 fn without_reclaimable_engines_all_are_on_demand() {
-    let bounds = Bounds { has_spot: false, ..BOUNDS };
+    let bounds = EngineLimits { has_spot: false, ..BOUNDS };
     let plans = plan(&sites([0; 4], [1; 4]), need(9, 9), bounds);
     assert_eq!(plans.iter().map(|it| it.on_demand).sum::<u32>(), 9);
     assert!(plans.iter().all(|it| it.spot == 0));
@@ -204,8 +208,8 @@
     outlook: Outlook::calm(4),
 };
 
-fn all(spot: u32) -> Serving {
-    Serving { spot, total: spot, on_demand: 0 }
+fn all(spot: u32) -> ServingEngines {
+    ServingEngines { spot, total: spot, on_demand: 0 }
 }
 
 /// A hundred requests a second, most of them short.
@@ -240,17 +244,18 @@
 #[test]
 fn new_leader_knows_the_need_from_what_the_relays_tell() {
     let relay = offered(0.5);
-    let mut demand = Demand::default();
-    assert_eq!(demand.need(0.0, 0.0, &MODEL, &MARKET, Serving::default(), 0), None);
-    demand.note(0.0, 0.0, relay + relay);
-    let need = demand.need(1.5, 1.2, &MODEL, &MARKET, Serving::default(), 0).unwrap();
-    assert!(need.ample > need.bare && need.bare > 0, "{need:?}");
+    let mut demand = DemandEstimator::default();
+    assert_eq!(demand.target(0.0, 0.0, &MODEL, &MARKET, ServingEngines::default(), 0), None);
+    demand.record(0.0, 0.0, relay + relay);
+    let need = demand.target(1.5, 1.2, &MODEL, &MARKET, ServingEngines::default(), 0).unwrap();
+    assert!(need.spot_target > need.min_total && need.min_total > 0, "{need:?}");
     // With enough reclaimable ones, none is needed on demand.
-    let served = demand.need(1.5, 1.2, &MODEL, &MARKET, all(need.ample), need.ample).unwrap();
-    assert_eq!(served.bare, 0);
-    assert_eq!(demand.need(1.0, 1.2, &MODEL, &MARKET, Serving::default(), 0), None);
+    let served =
+        demand.target(1.5, 1.2, &MODEL, &MARKET, all(need.spot_target), need.spot_target).unwrap();
+    assert_eq!(served.min_total, 0);
+    assert_eq!(demand.target(1.0, 1.2, &MODEL, &MARKET, ServingEngines::default(), 0), None);
     assert_eq!(
-        demand.need(1.5, 1.2, &EngineModel::default(), &MARKET, Serving::default(), 0),
+        demand.target(1.5, 1.2, &EngineModel::default(), &MARKET, ServingEngines::default(), 0),
         None
     );
 }
@@ -260,41 +265,42 @@
 #[test]
 fn whole_gap_is_ordered_at_once() {
     let model = EngineModel { late: 0.02, ..MODEL };
-    let mut demand = Demand::default();
-    demand.note(0.0, 0.0, offered(1.0));
-    demand.need(0.0, 0.0, &model, &MARKET, all(30), 30).unwrap();
+    let mut demand = DemandEstimator::default();
+    demand.record(0.0, 0.0, offered(1.0));
+    demand.target(0.0, 0.0, &model, &MARKET, all(30), 30).unwrap();
     let gone =
         Market { surge_factor: 1.5, outlook: Outlook { gone: 4, ..Outlook::calm(0) }, ..MARKET };
     let orders: Vec<u32> = (0..=8)
         .map(|look| {
             let passed = f64::from(look) * 0.5;
-            demand.note(passed, 0.0, offered(1.0 + passed / 8.0));
-            let booting = Serving { on_demand: 5, ..Serving::default() };
-            demand.need(passed, 0.0, &model, &gone, booting, 30).unwrap().bare
+            demand.record(passed, 0.0, offered(1.0 + passed / 8.0));
+            let booting = ServingEngines { on_demand: 5, ..ServingEngines::default() };
+            demand.target(passed, 0.0, &model, &gone, booting, 30).unwrap().min_total
         })
         .collect();
     let most = orders.iter().max().unwrap();
     assert!(orders[0] * 10 >= most * 9, "{orders:?}");
     // It isn't ordered twice over.
-    let calm = demand.need(4.0, 0.0, &model, &MARKET, Serving::default(), 30).unwrap().bare;
+    let calm =
+        demand.target(4.0, 0.0, &model, &MARKET, ServingEngines::default(), 30).unwrap().min_total;
     assert!(orders[0] <= calm * 3 / 2, "{orders:?} where {calm} are worth their price in the end");
 }
 
 /// One data centre of several stays gone for long: what came before it fades, as the peak does without it.
 #[test]
 fn long_absence_does_not_hold_the_need_at_the_days_peak() {
-    let mut demand = Demand::default();
-    demand.note(0.0, 0.0, offered(2.0));
-    demand.need(0.0, 0.0, &MODEL, &MARKET, all(30), 30).unwrap();
+    let mut demand = DemandEstimator::default();
+    demand.record(0.0, 0.0, offered(2.0));
+    demand.target(0.0, 0.0, &MODEL, &MARKET, all(30), 30).unwrap();
     let gone = Market { outlook: Outlook { gone: 1, ..Outlook::calm(3) }, ..MARKET };
-    let ample = |demand: &mut Demand, now, market: &Market| {
-        demand.note(now, 0.0, offered(0.2));
-        demand.need(now, 0.0, &MODEL, market, all(30), 0).unwrap().ample
+    let ample = |demand: &mut DemandEstimator, now, market: &Market| {
+        demand.record(now, 0.0, offered(0.2));
+        demand.target(now, 0.0, &MODEL, market, all(30), 0).unwrap().spot_target
     };
     let high = ample(&mut demand, 1.0, &gone);
     let long = ample(&mut demand, 300.0, &gone);
-    let mut calm = Demand::default();
-    calm.note(0.0, 0.0, offered(0.2));
+    let mut calm = DemandEstimator::default();
+    calm.record(0.0, 0.0, offered(0.2));
     let low = ample(&mut calm, 300.0, &MARKET);
     assert!(high > 2 * long && long <= low + 1, "{high}, {long} after long, {low} without it");
 }
@@ -303,7 +309,7 @@
 fn no_reclaimable_engine_is_given_up_while_none_are_to_be_had() {
     let dry = sites([0, 6, 6, 4], [0; 4]);
     let spots = |scarce| {
-        let need = Need { scarce, ..need(8, 0) };
+        let need = EngineTarget { keep_spot: scarce, ..need(8, 0) };
         let plans = plan(&dry, need, BOUNDS);
         ["a", "b", "c", "d"]
             .map(|name| plans.iter().find(|it| it.data_centre.as_str() == name).unwrap().spot)
@@ -314,15 +320,15 @@
 
 #[test]
 fn peak_fades_slowly() {
-    let mut demand = Demand::default();
-    let ample = |demand: &mut Demand, now| {
-        demand.need(now, 0.0, &MODEL, &MARKET, Serving::default(), 0).unwrap().ample
+    let mut demand = DemandEstimator::default();
+    let ample = |demand: &mut DemandEstimator, now| {
+        demand.target(now, 0.0, &MODEL, &MARKET, ServingEngines::default(), 0).unwrap().spot_target
     };
-    demand.note(0.0, 0.0, offered(2.0));
+    demand.record(0.0, 0.0, offered(2.0));
     let high = ample(&mut demand, 0.0);
-    demand.note(5.0, 0.0, offered(0.2));
+    demand.record(5.0, 0.0, offered(0.2));
     let later = ample(&mut demand, 5.0);
-    demand.note(200.0, 0.0, offered(0.2));
+    demand.record(200.0, 0.0, offered(0.2));
     let end = ample(&mut demand, 200.0);
     assert!(high > later && later > end, "{high} {later} {end}");
 }
@@ -548,10 +554,12 @@
 fn need_of_a_large_fleet_is_known_within_its_first_seconds() {
     let market = Market { max_per_data_centre: 10_000, data_centres: 6, ..MARKET };
     let need_at = |calls: f64, at: f64, age: f64| {
-        let mut demand = Demand::default();
-        demand.note(0.0, age, rising(calls, 0.01));
-        demand.note(at, age, rising(calls, at - age));
-        demand.need(at, 5.0, &MODEL, &market, Serving::default(), 0).map(|need| need.ample)
+        let mut demand = DemandEstimator::default();
+        demand.record(0.0, age, rising(calls, 0.01));
+        demand.record(at, age, rising(calls, at - age));
+        demand
+            .target(at, 5.0, &MODEL, &market, ServingEngines::default(), 0)
+            .map(|need| need.spot_target)
     };
     // Some requests a second say nothing in so short a time.
     assert_eq!(need_at(50.0, 2.0, 0.2), None);
