--- a/src/control/notes.rs
+++ b/src/control/notes.rs
@@ -6,7 +6,7 @@
 
 use super::duties::SETTLE_TIME;
 use super::lead::{LeaderState, follow_table, tolerance};
-use crate::decide::hazard::Learned;
+use crate::decide::hazard::OutageHistory;
 use crate::decide::token_bucket::{ReserveNote, Tolerance};
 use crate::ids::{ServiceName, TeamName};
 use crate::node::Node;
@@ -108,7 +108,7 @@
     fn next_spells(&self) -> Option<Spells> {
         let kept = self.spells.as_ref()?;
         let spells = self.spender.learned();
-        let differs = |(service, learned): (&ServiceName, &Learned)| {
+        let differs = |(service, learned): (&ServiceName, &OutageHistory)| {
             learned.differs(&kept.get(service).cloned().unwrap_or_default())
         };
         spells.iter().any(differs).then_some(spells)
--- a/src/control/spend.rs
+++ b/src/control/spend.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use crate::decide::absence::Seen;
+use crate::decide::absence::SpotStatus;
 use crate::decide::capacity::{Market, OfferedLoad};
 use crate::decide::engine::EngineModel;
-use crate::decide::hazard::DrySpells;
+use crate::decide::hazard::OutagePredictor;
 use crate::decide::orders::{OrderTracker, Place};
 use crate::decide::spend::{
     DataCentreEngines, DemandEstimator, EngineLimits, EnginePlan, EngineTarget, ServingEngines,
@@ -37,7 +37,7 @@
 pub(crate) struct Spender {
     demands: BTreeMap<ServiceName, DemandEstimator>,
     books: BTreeMap<ServiceName, OrderTracker>,
-    spells: BTreeMap<ServiceName, DrySpells>,
+    spells: BTreeMap<ServiceName, OutagePredictor>,
     /// What was last said of the need.
     said: BTreeMap<ServiceName, EngineTarget>,
     /// Engines on demand that there were before the first order.
@@ -185,8 +185,8 @@
                     base_ms = (model.base * 1_000.0) as u64, wait_ms = (model.wait * 1_000.0) as u64, late = model.late,
                     pace_ms = (model.pace * 1_000.0) as u64, events = model.events,
                     seen = model.weight as u64, away = market.outages.fraction,
-                    away_s = market.outages.duration, gone = market.outlook.gone,
-                    next = 1.0 - market.outlook.chances[0],
+                    away_s = market.outages.duration, gone = market.forecast.lost,
+                    next = 1.0 - market.forecast.probabilities[0],
                 );
             }
             return need;
@@ -253,8 +253,8 @@
             surge_factor: self.weights.surge,
             slots,
             boot_time: boot,
-            outages: spells.absence(),
-            outlook: spells.outlook(boot),
+            outages: spells.outage_stats(),
+            forecast: spells.forecast(boot),
         }
     }
 
@@ -266,8 +266,8 @@
         scaling: &Scaling,
         servers: &[&Server],
     ) {
-        let mut seen: BTreeMap<&DataCentre, Seen> =
-            scaling.prices.keys().map(|data_centre| (data_centre, Seen::default())).collect();
+        let mut seen: BTreeMap<&DataCentre, SpotStatus> =
+            scaling.prices.keys().map(|data_centre| (data_centre, SpotStatus::default())).collect();
         for server in servers.iter().filter(|it| it.spot) {
             if let Some(seen) = seen.get_mut(&server.data_centre) {
                 let count = if server.leaving { &mut seen.leaving } else { &mut seen.serving };
@@ -277,7 +277,7 @@
             }
         }
         let seen: Vec<_> = seen.into_iter().map(|(place, seen)| (place.clone(), seen)).collect();
-        self.spells.entry(service.clone()).or_default().look(now, &seen);
+        self.spells.entry(service.clone()).or_default().observe(now, &seen);
     }
 
     /// Notes what became of an order.
@@ -294,9 +294,9 @@
         let spells = self.spells.entry(order.service.clone()).or_default();
         match answer {
             OrderAnswer::Taken if order.spot && order.count > 0 => {
-                spells.note_taken(now, &order.data_centre);
+                spells.record_acceptance(now, &order.data_centre);
             }
-            OrderAnswer::Unavailable => spells.note_refused(now, &order.data_centre),
+            OrderAnswer::Unavailable => spells.record_refusal(now, &order.data_centre),
             _ => {}
         }
     }
--- a/src/decide/absence.rs
+++ b/src/decide/absence.rs
@@ -1,11 +1,11 @@
-//! Which data centres have no reclaimable engines for a service, and for how long that lasts.
+//! Tracks which data centres have no spot engines for a service, and how long such outages last.
 //!
-//! A data centre is gone when its reclaimable engines have notice and none serves, or when an order for some
-//! was refused and none serves. It is back when an order is taken or some serve. An absence is one
-//! observation, however often it is looked at; one under way says no more than that it has lasted so long
-//! (it is censored), which teaches something only beyond the mean.
+//! An outage begins when all spot engines of a data centre are under notice, or when an order is refused
+//! while none serve. It ends when an order is accepted or some serve. Each outage counts as one observation,
+//! however often it is looked at. An outage in progress is a censored observation: it only affects the mean
+//! once it exceeds it.
 //!
-//! Pure: times are seconds on any one clock.
+//! This module does no I/O; times are seconds of any monotonic clock.
 
 use std::collections::BTreeMap;
 
@@ -14,95 +14,97 @@
 use super::capacity::OutageStats;
 use crate::ids::DataCentre;
 
-/// Seconds of a data centre, and of absence in them, taken to have been seen before anything was: cautious,
-/// a tenth of the time.
+/// The prior: observed data-centre seconds, and outage seconds within them. A cautious 10%.
 const PRIOR_TIME: f64 = 120.0;
-const PRIOR_AWAY: f64 = 12.0;
+const PRIOR_OUTAGE_TIME: f64 = 12.0;
 
-/// Seconds that an absence lasts before any was seen, and how many of them that weighs: a few of the first
-/// ones outweigh it.
-const PRIOR_LENGTH: f64 = 12.0;
+/// The prior of the outage duration, in seconds, and its weight in observations. A few real outages outweigh
+/// it.
+const PRIOR_DURATION: f64 = 12.0;
 const PRIOR_COUNT: f64 = 0.25;
 
-/// What a list shows of the reclaimable engines in a data centre.
+/// The listed state of the spot engines in a data centre.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Seen {
-    /// That serve and do not leave.
+pub struct SpotStatus {
+    /// Engines that serve and are not leaving.
     pub serving: u32,
-    /// That leave.
+    /// Engines that are leaving.
     pub leaving: u32,
-    /// Seconds until the last of them goes, where that is known.
+    /// Seconds until the last of them is gone, if known.
     pub notice: Option<f64>,
 }
 
-/// Whether a data centre has reclaimable engines.
+/// Whether a data centre has spot engines.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 enum State {
     #[default]
     Unknown,
-    /// None are wanted there: what leaves was given up.
+    /// No engines are wanted there; the leaving ones were given up on purpose.
     Unwanted,
-    /// Some serve.
+    /// Some engines serve.
     Present,
-    /// An order for some was taken; none serves yet.
-    Coming,
-    /// There are none since then; an order was last refused at `refused`.
-    Gone { since: f64, refused: Option<f64> },
+    /// An order was accepted, but no engine serves yet.
+    Ordered,
+    /// There have been none since `since`; an order was last refused at `refused`.
+    Lost { since: f64, last_refusal: Option<f64> },
 }
 
-/// Absences so far, the prior among them.
+/// Outages observed so far, including the prior.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Absences {
-    /// Seconds of single data centres.
+pub struct OutageTotals {
+    /// Observed data-centre seconds.
     time: f64,
-    /// Those without reclaimable engines.
-    away: f64,
-    /// Seconds of those that ended.
-    lengths: f64,
-    /// How many ended.
-    pub(super) count: f64,
+    /// Data-centre seconds without spot engines.
+    #[serde(rename = "away")]
+    outage_time: f64,
+    /// The total duration of ended outages, in seconds.
+    #[serde(rename = "lengths")]
+    total_duration: f64,
+    /// The number of ended outages.
+    #[serde(rename = "count")]
+    pub(super) ended: f64,
 }
 
-impl Default for Absences {
+impl Default for OutageTotals {
     fn default() -> Self {
         Self {
             time: PRIOR_TIME,
-            away: PRIOR_AWAY,
-            lengths: PRIOR_LENGTH * PRIOR_COUNT,
-            count: PRIOR_COUNT,
+            outage_time: PRIOR_OUTAGE_TIME,
+            total_duration: PRIOR_DURATION * PRIOR_COUNT,
+            ended: PRIOR_COUNT,
         }
     }
 }
 
-/// Learns when data centres run out of reclaimable engines, and for how long.
+/// Learns when data centres run out of spot engines, and for how long.
 #[derive(Debug, Clone, Default)]
-pub struct AbsenceLearner {
-    pub(super) learned: Absences,
+pub struct OutageLearner {
+    pub(super) learned: OutageTotals,
     now: Option<f64>,
     states: BTreeMap<DataCentre, State>,
 }
 
-impl AbsenceLearner {
-    /// Takes what the list shows at `now`, and returns how many data centres are gone that were not before.
-    pub fn look(&mut self, now: f64, seen: &[(DataCentre, Seen)]) -> u32 {
+impl OutageLearner {
+    /// Updates the states with the listing at `now` and returns the number of newly lost data centres.
+    pub fn observe(&mut self, now: f64, listed: &[(DataCentre, SpotStatus)]) -> u32 {
         let passed = now - self.now.replace(now).unwrap_or(now);
         let mut lost = 0;
-        self.states.retain(|held, _| seen.iter().any(|(data_centre, _)| data_centre == held));
-        for (data_centre, seen) in seen {
+        self.states.retain(|held, _| listed.iter().any(|(data_centre, _)| data_centre == held));
+        for (data_centre, listed) in listed {
             let state = self.states.get(data_centre).copied().unwrap_or_default();
             self.learned.time += passed;
-            if matches!(state, State::Gone { .. }) {
-                self.learned.away += passed;
+            if matches!(state, State::Lost { .. }) {
+                self.learned.outage_time += passed;
             }
             match state {
-                // The list lags: it shows for a while what was given up.
+                // The list lags and still shows engines that were given up.
                 State::Unwanted => {}
-                State::Unknown | State::Present if seen.serving == 0 && seen.leaving > 0 => {
+                State::Unknown | State::Present if listed.serving == 0 && listed.leaving > 0 => {
                     lost += 1;
-                    self.set(data_centre, State::Gone { since: now, refused: None });
+                    self.set(data_centre, State::Lost { since: now, last_refusal: None });
                 }
-                _ if seen.serving > 0 => self.bring_back(now, data_centre, State::Present),
-                // Lost without notice: engines crash.
+                _ if listed.serving > 0 => self.end_outage(now, data_centre, State::Present),
+                // Lost without notice: the engines crashed.
                 State::Present => self.set(data_centre, State::Unknown),
                 _ => {}
             }
@@ -110,66 +112,67 @@
         lost
     }
 
-    /// Takes that an order for reclaimable engines was refused. Where some serve, or are known to have been
-    /// there, it says no more than that there are no further ones.
-    pub fn note_refused(&mut self, now: f64, data_centre: &DataCentre) {
+    /// Records that an order for spot engines was refused. If some serve, it only means that no further ones
+    /// are available.
+    pub fn record_refusal(&mut self, now: f64, data_centre: &DataCentre) {
         let since = match self.states.get(data_centre).copied().unwrap_or_default() {
             State::Present => return,
-            State::Gone { since, .. } => since,
-            State::Unknown | State::Unwanted | State::Coming => now,
+            State::Lost { since, .. } => since,
+            State::Unknown | State::Unwanted | State::Ordered => now,
         };
-        self.set(data_centre, State::Gone { since, refused: Some(now) });
+        self.set(data_centre, State::Lost { since, last_refusal: Some(now) });
     }
 
-    /// Takes that no reclaimable engines are wanted in a data centre: none being there says nothing from now
-    /// on, and an absence under way is not seen to its end.
+    /// Records that no spot engines are wanted in a data centre. Their absence means nothing from now on,
+    /// and the end of an outage in progress is not observed.
     pub fn record_unwanted(&mut self, data_centre: &DataCentre) {
         self.set(data_centre, State::Unwanted);
     }
 
-    /// Takes that an order for reclaimable engines was taken.
-    pub fn note_taken(&mut self, now: f64, data_centre: &DataCentre) {
+    /// Records that an order for spot engines was accepted.
+    pub fn record_acceptance(&mut self, now: f64, data_centre: &DataCentre) {
         let state = self.states.get(data_centre).copied().unwrap_or_default();
         match state {
-            State::Gone { .. } => self.bring_back(now, data_centre, State::Coming),
-            State::Unwanted => self.set(data_centre, State::Coming),
-            State::Unknown | State::Present | State::Coming => {}
+            State::Lost { .. } => self.end_outage(now, data_centre, State::Ordered),
+            State::Unwanted => self.set(data_centre, State::Ordered),
+            State::Unknown | State::Present | State::Ordered => {}
         }
     }
 
-    /// How many data centres are gone.
-    pub fn gone(&self) -> u32 {
-        let gone = self.states.values().filter(|state| matches!(state, State::Gone { .. }));
-        gone.count() as u32
+    /// The number of data centres in an outage.
+    pub fn lost_count(&self) -> u32 {
+        let lost = self.states.values().filter(|state| matches!(state, State::Lost { .. }));
+        lost.count() as u32
     }
 
-    /// What is known.
-    pub fn absence(&self) -> OutageStats {
-        let share = (self.learned.away / self.learned.time).clamp(0.001, 0.9);
-        OutageStats { fraction: share, duration: self.length() }
+    /// The learned statistics.
+    pub fn stats(&self) -> OutageStats {
+        let fraction = (self.learned.outage_time / self.learned.time).clamp(0.001, 0.9);
+        OutageStats { fraction, duration: self.mean_duration() }
     }
 
-    /// The mean over those that ended and those that have lasted longer by now.
-    fn length(&self) -> f64 {
-        let Absences { lengths, count, .. } = self.learned;
-        let mean = lengths / count;
+    /// The mean over the ended outages and those in progress that already exceed the mean.
+    fn mean_duration(&self) -> f64 {
+        let OutageTotals { total_duration, ended, .. } = self.learned;
+        let mean = total_duration / ended;
         let now = self.now.unwrap_or_default();
         let ages = self.states.values().filter_map(|state| match state {
-            State::Gone { since, .. } => Some(now - since),
+            State::Lost { since, .. } => Some(now - since),
             _ => None,
         });
         let longer = ages.filter(|age| *age > mean);
         let (sum, count) =
-            longer.fold((lengths, count), |(sum, count), age| (sum + age, count + 1.0));
+            longer.fold((total_duration, ended), |(sum, count), age| (sum + age, count + 1.0));
         sum / count
     }
 
-    /// Ends an absence, if one is under way: at some time since an order was last refused.
-    fn bring_back(&mut self, now: f64, data_centre: &DataCentre, state: State) {
-        if let Some(State::Gone { since, refused }) = self.states.get(data_centre) {
-            let end = refused.map_or(now, |refused| (refused + now) / 2.0);
-            self.learned.lengths += end - since;
-            self.learned.count += 1.0;
+    /// Ends the outage in progress, if any. It ended between the last refused order and now, so the middle
+    /// is taken.
+    fn end_outage(&mut self, now: f64, data_centre: &DataCentre, state: State) {
+        if let Some(State::Lost { since, last_refusal }) = self.states.get(data_centre) {
+            let end = last_refusal.map_or(now, |last_refusal| (last_refusal + now) / 2.0);
+            self.learned.total_duration += end - since;
+            self.learned.ended += 1.0;
         }
         self.set(data_centre, state);
     }
--- a/src/decide/capacity.rs
+++ b/src/decide/capacity.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::engine::EngineModel;
-use super::hazard::Outlook;
+use super::hazard::LossForecast;
 
 /// The maximum prefill utilisation of an engine. Above it, the queue hardly ever drains.
 const MAX_PREFILL_LOAD: f64 = 0.9;
@@ -266,7 +266,7 @@
     fn cheapest(&self, spots: u32, price: f64, market: &Market) -> u32 {
         let most = market.max_per_data_centre * market.data_centres;
         let least = ((self.prefill_load / MAX_PREFILL_LOAD).ceil().max(1.0) as u32).min(most);
-        let cases: Vec<_> = market.outlook.left_of(spots).collect();
+        let cases: Vec<_> = market.forecast.remaining_engines(spots).collect();
         let cost = |count: &u32| {
             let late = cases.iter().map(|(left, chance)| chance * self.late_rate(left + count));
             price * f64::from(*count) + market.late_cost * late.sum::<f64>()
@@ -382,7 +382,7 @@
     /// How often and for how long data centres have no spot engines.
     pub outages: OutageStats,
     /// Which data centres may soon have none.
-    pub outlook: Outlook,
+    pub forecast: LossForecast,
 }
 
 impl Market {
@@ -409,7 +409,7 @@
 
     /// The same for an engine ordered ahead of a possible loss: it is paid from now until the outage ends.
     fn reserve_price(&self) -> f64 {
-        self.price_over(self.outlook.calm + self.outages.duration)
+        self.price_over(self.forecast.time_to_loss + self.outages.duration)
     }
 
     fn price_over(&self, duration: f64) -> f64 {
--- a/src/decide/spend.rs
+++ b/src/decide/spend.rs
@@ -103,7 +103,7 @@
         let load = self.adjust_for_outage(load, market, serving);
         let bought = load.on_demand_engines(serving.spot, serving.on_demand, market);
         let min_total = if bought > 0 { serving.spot + bought } else { 0 };
-        let keep_spot = market.outlook.gone > 0;
+        let keep_spot = market.forecast.lost > 0;
         let spot_target = load.scaled(market.surge_factor).spot_engines(market, held);
         Some(EngineTarget { spot_target, min_total, has_traffic: true, keep_spot })
     }
@@ -134,7 +134,7 @@
         market: &Market,
         serving: ServingEngines,
     ) -> ServiceLoad {
-        if market.outlook.gone == 0 {
+        if market.forecast.lost == 0 {
             self.baseline =
                 Some(BaselineLoad { peak: self.peak, late_factor: load.late_factor, at: self.at });
             return load;
--- a/src/state/notes.rs
+++ b/src/state/notes.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::decide::engine::EngineModel;
-use crate::decide::hazard::Learned;
+use crate::decide::hazard::OutageHistory;
 use crate::ids::{ServiceName, TeamName};
 
 /// Teams whose levels may be below their reserve. Noted before a level goes below it: a new leader does
@@ -17,7 +17,7 @@
 
 /// What was learned of the dry spells of each service, so that a new leader is as well prepared for the
 /// next one.
-pub type Spells = BTreeMap<ServiceName, Learned>;
+pub type Spells = BTreeMap<ServiceName, OutageHistory>;
 
 /// All notes.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
--- a/tests/hazard.rs
+++ b/tests/hazard.rs
@@ -2,30 +2,30 @@
 
 use std::collections::BTreeMap;
 
-use emberturn::decide::absence::Seen;
-use emberturn::decide::hazard::{DrySpells, LOSSES};
+use emberturn::decide::absence::SpotStatus;
+use emberturn::decide::hazard::{FORECAST_LOSSES, OutagePredictor};
 use emberturn::ids::{DataCentre, ServiceName};
 use emberturn::state::notes::Notes;
 use emberturn::state::{Command, Machine, Reply};
 
 /// Data centres in their order; the first `gone` of `count` have notice of two seconds.
-fn seen(count: usize, gone: usize) -> Vec<(DataCentre, Seen)> {
+fn seen(count: usize, gone: usize) -> Vec<(DataCentre, SpotStatus)> {
     let names = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"];
     let place = |(place, name): (usize, &&str)| {
-        let leaving = Seen { serving: 0, leaving: 6, notice: Some(2.0) };
-        let serving = Seen { serving: 6, ..Seen::default() };
+        let leaving = SpotStatus { serving: 0, leaving: 6, notice: Some(2.0) };
+        let serving = SpotStatus { serving: 6, ..SpotStatus::default() };
         (name.parse().unwrap(), if place < gone { leaving } else { serving })
     };
     names[..count].iter().enumerate().map(place).collect()
 }
 
 /// Plays spells in which so many of four data centres go, one a second, with quiet minutes between.
-fn after(spells: &[usize]) -> (DrySpells, f64) {
-    let (mut known, mut now) = (DrySpells::default(), 0.0);
-    let mut look = |known: &mut DrySpells, gone, seconds: u32| {
+fn after(spells: &[usize]) -> (OutagePredictor, f64) {
+    let (mut known, mut now) = (OutagePredictor::default(), 0.0);
+    let mut look = |known: &mut OutagePredictor, gone, seconds: u32| {
         for _ in 0..seconds {
             now += 1.0;
-            known.look(now, &seen(4, gone));
+            known.observe(now, &seen(4, gone));
         }
     };
     look(&mut known, 0, 60);
@@ -40,8 +40,8 @@
 /// How likely more are lost within an engine's boot, right after the first is gone.
 fn next(spells: &[usize]) -> f64 {
     let (mut known, now) = after(spells);
-    known.look(now + 1.0, &seen(4, 1));
-    1.0 - known.outlook(4.0).chances[0]
+    known.observe(now + 1.0, &seen(4, 1));
+    1.0 - known.forecast(4.0).probabilities[0]
 }
 
 #[test]
@@ -57,9 +57,9 @@
     let (mut known, now) = after(&[4; 4]);
     let chances = [1, 12].map(|seconds| {
         for second in 0..seconds {
-            known.look(now + 1.0 + f64::from(second), &seen(4, 1));
+            known.observe(now + 1.0 + f64::from(second), &seen(4, 1));
         }
-        1.0 - known.outlook(4.0).chances[0]
+        1.0 - known.forecast(4.0).probabilities[0]
     });
     assert!(chances[0] > chances[1] + 0.2, "{chances:?}");
 }
@@ -67,18 +67,18 @@
 #[test]
 fn spell_that_ends_takes_no_further_ones() {
     let (mut known, now) = after(&[4; 4]);
-    known.look(now + 1.0, &seen(4, 2));
-    let falls = known.outlook(4.0).chances[0];
-    known.look(now + 2.0, &seen(4, 1));
-    let ends = known.outlook(4.0).chances[0];
+    known.observe(now + 1.0, &seen(4, 2));
+    let falls = known.forecast(4.0).probabilities[0];
+    known.observe(now + 2.0, &seen(4, 1));
+    let ends = known.forecast(4.0).probabilities[0];
     assert!(ends > 0.7 && ends > falls + 0.4, "{falls} while it falls, {ends} once one is back");
 }
 
 #[test]
 fn longer_boots_and_shorter_notices_leave_more_to_be_lost() {
     let (mut known, now) = after(&[4; 2]);
-    known.look(now + 1.0, &seen(4, 1));
-    let safe = [0.25, 2.0, 4.0, 8.0, 20.0].map(|boot| known.outlook(boot).chances[0]);
+    known.observe(now + 1.0, &seen(4, 1));
+    let safe = [0.25, 2.0, 4.0, 8.0, 20.0].map(|boot| known.forecast(boot).probabilities[0]);
     assert!(safe.windows(2).all(|pair| pair[0] >= pair[1]), "{safe:?}");
     assert_eq!(safe[0], 1.0, "an engine that boots within the notice is ordered when it comes");
 }
@@ -90,29 +90,36 @@
         seen.iter_mut().for_each(|(_, seen)| seen.notice = None);
         seen
     };
-    let mut known = DrySpells::default();
+    let mut known = OutagePredictor::default();
     let before = known.learned();
-    known.look(0.0, &untold(0));
-    known.look(0.0, &untold(1));
-    let mut told = DrySpells::default();
-    told.look(0.0, &seen(4, 0));
-    told.look(0.0, &seen(4, 1));
+    known.observe(0.0, &untold(0));
+    known.observe(0.0, &untold(1));
+    let mut told = OutagePredictor::default();
+    told.observe(0.0, &seen(4, 0));
+    told.observe(0.0, &seen(4, 1));
     assert_ne!(known.learned(), before);
-    assert!(known.outlook(4.0).chances[0] < told.outlook(4.0).chances[0], "the prior is shorter");
+    assert!(
+        known.forecast(4.0).probabilities[0] < told.forecast(4.0).probabilities[0],
+        "the prior is shorter"
+    );
 }
 
 #[test]
 fn chances_sum_to_one_whatever_is_gone() {
     for count in [1, 2, 4, 12] {
         for gone in 0..=count {
-            let mut known = DrySpells::default();
-            known.look(0.0, &seen(count, 0));
-            known.look(1.0, &seen(count, gone));
-            let outlook = known.outlook(20.0);
-            let sum: f64 = outlook.chances.iter().sum();
+            let mut known = OutagePredictor::default();
+            known.observe(0.0, &seen(count, 0));
+            known.observe(1.0, &seen(count, gone));
+            let outlook = known.forecast(20.0);
+            let sum: f64 = outlook.probabilities.iter().sum();
             assert!((sum - 1.0).abs() < 1e-9, "{outlook:?}");
-            assert!(outlook.chances[(count - gone + 1).min(LOSSES)..].iter().all(|it| *it == 0.0));
-            assert!(outlook.left_of(60).all(|(left, _)| left <= 60));
+            assert!(
+                outlook.probabilities[(count - gone + 1).min(FORECAST_LOSSES)..]
+                    .iter()
+                    .all(|it| *it == 0.0)
+            );
+            assert!(outlook.remaining_engines(60).all(|(left, _)| left <= 60));
         }
     }
 }
@@ -122,7 +129,7 @@
 #[test]
 fn new_leader_expects_what_the_former_one_did() {
     let (mut former, now) = after(&[4; 4]);
-    former.look(now + 1.0, &seen(4, 1));
+    former.observe(now + 1.0, &seen(4, 1));
     let service: ServiceName = "chat".parse().unwrap();
     let spells = BTreeMap::from([(service.clone(), former.learned())]);
     // It goes through the group's log beside what operators wait for.
@@ -134,11 +141,11 @@
     let Reply::Notes(Notes { spells, .. }) = machine.apply(2, &Command::ReadNotes) else {
         panic!("no notes");
     };
-    let mut new = DrySpells::default();
-    new.look(0.0, &seen(4, 1));
+    let mut new = OutagePredictor::default();
+    new.observe(0.0, &seen(4, 1));
     new.restore(spells[&service].clone());
     assert_eq!(new.learned(), former.learned());
-    let [was, is] = [&former, &new].map(|known| known.outlook(4.0).chances[0]);
+    let [was, is] = [&former, &new].map(|known| known.forecast(4.0).probabilities[0]);
     assert!((was - is).abs() < 0.05, "{was} {is}");
     assert!(!new.learned().differs(&spells[&service]));
 }
--- a/tests/markets.rs
+++ b/tests/markets.rs
@@ -1,9 +1,9 @@
 //! Dry spells drawn in virtual time: what engines on demand and late requests cost together, by how they are
 //! ordered, against an oracle that knows the spells.
 
-use emberturn::decide::absence::Seen;
+use emberturn::decide::absence::SpotStatus;
 use emberturn::decide::capacity::{Market, OutageStats, ServiceLoad};
-use emberturn::decide::hazard::{DrySpells, Outlook};
+use emberturn::decide::hazard::{LossForecast, OutagePredictor};
 use emberturn::ids::DataCentre;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -91,7 +91,7 @@
         Self { spells, notice, boot, until }
     }
 
-    fn market(&self, absence: OutageStats, outlook: Outlook) -> Market {
+    fn market(&self, absence: OutageStats, outlook: LossForecast) -> Market {
         Market {
             data_centres: PLACES as u32,
             max_per_data_centre: 12,
@@ -102,7 +102,7 @@
             slots: LOAD.slots,
             boot_time: self.boot,
             outages: absence,
-            outlook,
+            forecast: outlook,
         }
     }
 
@@ -126,13 +126,13 @@
         (0..PLACES).filter(serves).count() as u32 * SPOTS
     }
 
-    fn seen(&self, place: usize, now: f64) -> Seen {
+    fn seen(&self, place: usize, now: f64) -> SpotStatus {
         match self.spell(place, now) {
-            None => Seen { serving: SPOTS, ..Seen::default() },
+            None => SpotStatus { serving: SPOTS, ..SpotStatus::default() },
             Some(spell) => {
                 let left = spell.from + self.notice - now;
                 let leaving = if left > 0.0 { SPOTS } else { 0 };
-                Seen { serving: 0, leaving, notice: Some(left.max(0.0)) }
+                SpotStatus { serving: 0, leaving, notice: Some(left.max(0.0)) }
             }
         }
     }
@@ -145,7 +145,7 @@
 
     /// What a way costs a second: engines on demand, and late requests.
     fn cost(&self, way: Way) -> f64 {
-        let mut spells = DrySpells::default();
+        let mut spells = OutagePredictor::default();
         let mut engines: Vec<f64> = Vec::new();
         let mut cost = 0.0;
         let names: Vec<DataCentre> =
@@ -164,11 +164,11 @@
     }
 
     /// What the list shows, late, and what becomes of orders.
-    fn learn(&self, now: f64, names: &[DataCentre], spells: &mut DrySpells) {
+    fn learn(&self, now: f64, names: &[DataCentre], spells: &mut OutagePredictor) {
         let listed = now - LAG;
         let seen: Vec<_> =
             (0..PLACES).map(|place| (names[place].clone(), self.seen(place, listed))).collect();
-        spells.look(now, &seen);
+        spells.observe(now, &seen);
         for spell in self.spells.iter().filter(|it| it.from <= listed && listed < it.to + AGAIN) {
             let tries = ((listed - spell.from) / AGAIN).floor();
             let tried = spell.from + tries * AGAIN;
@@ -176,22 +176,23 @@
                 continue;
             }
             match tried < spell.to {
-                true => spells.note_refused(now, &names[spell.place]),
-                false => spells.note_taken(now, &names[spell.place]),
+                true => spells.record_refusal(now, &names[spell.place]),
+                false => spells.record_acceptance(now, &names[spell.place]),
             }
         }
     }
 
-    fn wanted(&self, way: Way, now: f64, held: u32, spells: &DrySpells) -> u32 {
+    fn wanted(&self, way: Way, now: f64, held: u32, spells: &OutagePredictor) -> u32 {
         let listed = now - LAG;
         let serving = |place: &usize| self.seen(*place, listed).serving;
         let spots: u32 = (0..PLACES).map(|place| serving(&place)).sum();
-        let calm = Outlook { gone: spells.gone(), ..Outlook::calm(PLACES as u32) };
-        let outlook = if way == Way::Foreseen { spells.outlook(self.boot) } else { calm };
-        let market = self.market(spells.absence(), outlook);
+        let calm =
+            LossForecast { lost: spells.lost_count(), ..LossForecast::no_loss(PLACES as u32) };
+        let outlook = if way == Way::Foreseen { spells.forecast(self.boot) } else { calm };
+        let market = self.market(spells.outage_stats(), outlook);
         match way {
             Way::Foreseen | Way::LastNotice => LOAD.on_demand_engines(spots, held, &market),
-            Way::FirstNotice if spells.gone() > 0 => LOAD.on_demand_engines(0, held, &market),
+            Way::FirstNotice if spells.lost_count() > 0 => LOAD.on_demand_engines(0, held, &market),
             Way::FirstNotice => LOAD.on_demand_engines(spots, held, &market),
             Way::Reserve(least) => LOAD.on_demand_engines(spots, held, &market).max(least),
         }
@@ -202,7 +203,7 @@
     fn least_cost(&self) -> f64 {
         let by_length = |length: f64| {
             let absence = OutageStats { fraction: 0.1, duration: length };
-            let market = self.market(absence, Outlook::calm(PLACES as u32));
+            let market = self.market(absence, LossForecast::no_loss(PLACES as u32));
             let mut held = 0;
             let mut cost = 0.0;
             for now in self.times() {
--- a/tests/spend.rs
+++ b/tests/spend.rs
@@ -2,7 +2,7 @@
 
 use emberturn::decide::capacity::{Arrivals, Market, OfferedLoad, OutageStats, ServiceLoad};
 use emberturn::decide::engine::{EngineLearner, EngineModel};
-use emberturn::decide::hazard::Outlook;
+use emberturn::decide::hazard::LossForecast;
 use emberturn::decide::spend::{
     DataCentreEngines, DemandEstimator, EngineCount, EngineLimits, EngineTarget, ServingEngines,
     plan,
@@ -205,7 +205,7 @@
     slots: 0.0,
     boot_time: 4.0,
     outages: OutageStats { fraction: 0.1, duration: 12.0 },
-    outlook: Outlook::calm(4),
+    forecast: LossForecast::no_loss(4),
 };
 
 fn all(spot: u32) -> ServingEngines {
@@ -268,8 +268,11 @@
     let mut demand = DemandEstimator::default();
     demand.record(0.0, 0.0, offered(1.0));
     demand.target(0.0, 0.0, &model, &MARKET, all(30), 30).unwrap();
-    let gone =
-        Market { surge_factor: 1.5, outlook: Outlook { gone: 4, ..Outlook::calm(0) }, ..MARKET };
+    let gone = Market {
+        surge_factor: 1.5,
+        forecast: LossForecast { lost: 4, ..LossForecast::no_loss(0) },
+        ..MARKET
+    };
     let orders: Vec<u32> = (0..=8)
         .map(|look| {
             let passed = f64::from(look) * 0.5;
@@ -292,7 +295,7 @@
     let mut demand = DemandEstimator::default();
     demand.record(0.0, 0.0, offered(2.0));
     demand.target(0.0, 0.0, &MODEL, &MARKET, all(30), 30).unwrap();
-    let gone = Market { outlook: Outlook { gone: 1, ..Outlook::calm(3) }, ..MARKET };
+    let gone = Market { forecast: LossForecast { lost: 1, ..LossForecast::no_loss(3) }, ..MARKET };
     let ample = |demand: &mut DemandEstimator, now, market: &Market| {
         demand.record(now, 0.0, offered(0.2));
         demand.target(now, 0.0, &MODEL, market, all(30), 0).unwrap().spot_target
