--- a/src/control/spend.rs
+++ b/src/control/spend.rs
@@ -8,7 +8,7 @@
 use crate::decide::capacity::{Market, OfferedLoad};
 use crate::decide::engine::EngineModel;
 use crate::decide::hazard::OutagePredictor;
-use crate::decide::orders::{OrderTracker, Place};
+use crate::decide::orders::{EnginePool, OrderTracker};
 use crate::decide::spend::{
     DataCentreEngines, DemandEstimator, EngineLimits, EnginePlan, EngineTarget, ServingEngines,
     plan,
@@ -141,7 +141,7 @@
                 if !spot && !settled && !there.is_exceeded_by(count) {
                     continue;
                 }
-                let place = Place { data_centre: plan.data_centre.clone(), spot };
+                let place = EnginePool { data_centre: plan.data_centre.clone(), spot };
                 if book.is_due(now, &place, count, there, boot) {
                     let (service, data_centre) = (service.name.clone(), place.data_centre);
                     orders.push(Order { service, data_centre, count, spot });
@@ -225,8 +225,8 @@
                 servers.iter().copied().filter(|it| it.data_centre == *data_centre && !it.leaving);
             let (spot, on_demand): (Vec<_>, Vec<_>) = there.partition(|it| it.spot);
             let mut count = |spot: bool, serving: usize| {
-                let place = Place { data_centre: data_centre.clone(), spot };
-                book.count(now, &place, serving as u32, boot)
+                let place = EnginePool { data_centre: data_centre.clone(), spot };
+                book.engine_count(now, &place, serving as u32, boot)
             };
             DataCentreEngines {
                 data_centre: data_centre.clone(),
@@ -315,8 +315,8 @@
     Fenced,
 }
 
-fn place_of(order: &Order) -> Place {
-    Place { data_centre: order.data_centre.clone(), spot: order.spot }
+fn place_of(order: &Order) -> EnginePool {
+    EnginePool { data_centre: order.data_centre.clone(), spot: order.spot }
 }
 
 /// Requests that an engine runs at the same time, on the mean; 0 where there are none.
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,24 +1,24 @@
 //! What orders for engines stand for, and when the next one is due.
 
-use emberturn::decide::orders::{OrderTracker, Place};
+use emberturn::decide::orders::{EnginePool, OrderTracker};
 use emberturn::decide::spend::EngineCount;
 
 const BOOT: f64 = 4.0;
 
-fn spot() -> Place {
-    Place { data_centre: "a".parse().unwrap(), spot: true }
+fn spot() -> EnginePool {
+    EnginePool { data_centre: "a".parse().unwrap(), spot: true }
 }
 
-fn on_demand() -> Place {
-    Place { spot: false, ..spot() }
+fn on_demand() -> EnginePool {
+    EnginePool { spot: false, ..spot() }
 }
 
 /// What is coming at each reading of a list that shows `serving` engines, one reading a second.
-fn coming(book: &mut OrderTracker, place: &Place, from: f64, serving: &[u32]) -> Vec<u32> {
+fn coming(book: &mut OrderTracker, place: &EnginePool, from: f64, serving: &[u32]) -> Vec<u32> {
     let times = (0..).map(|second| from + f64::from(second));
     times
         .zip(serving)
-        .map(|(now, serving)| book.count(now, place, *serving, BOOT).expected)
+        .map(|(now, serving)| book.engine_count(now, place, *serving, BOOT).expected)
         .collect()
 }
 
@@ -66,14 +66,14 @@
 fn refusal_says_no_more_than_that_there_are_no_further_ones() {
     let mut book = OrderTracker::default();
     book.record_order(0.0, spot(), 6);
-    book.count(1.0, &spot(), 2, BOOT);
+    book.engine_count(1.0, &spot(), 2, BOOT);
     book.record_refusal(2.0, spot());
     // Some serve: those that boot still come.
     assert_eq!(coming(&mut book, &spot(), 2.0, &[2, 4, 6]), [6, 6, 6]);
     // None serve, so none are there: what booted was reclaimed as well.
     let mut book = OrderTracker::default();
     book.record_order(0.0, spot(), 6);
-    book.count(1.0, &spot(), 0, BOOT);
+    book.engine_count(1.0, &spot(), 0, BOOT);
     book.record_refusal(2.0, spot());
     assert_eq!(coming(&mut book, &spot(), 2.0, &[0, 0]), [0, 0]);
 }
