--- a/src/control/heartbeat.rs
+++ b/src/control/heartbeat.rs
@@ -15,7 +15,7 @@
 use crate::decide::engine::Sample;
 use crate::decide::intervals::retry_delay;
 use crate::decide::loads::LoadSample;
-use crate::decide::quarantine::{EndReport, QuarantineUpdate};
+use crate::decide::quarantine::{QuarantineReport, QuarantineUpdate};
 use crate::decide::releases::{ReleaseUpdate, TrialReport};
 use crate::decide::report_delta::DeltaSender;
 use crate::group::access::Access;
@@ -75,7 +75,7 @@
     /// Lives of backend servers that the leader's list did not show.
     pub lives: Vec<IncarnationReport>,
     /// Servers that ended under its requests, and what that is news to.
-    pub quarantine: EndReport,
+    pub quarantine: QuarantineReport,
     /// Which of the words of this life this is.
     pub turn: u64,
     /// The last of them that was answered.
@@ -180,7 +180,7 @@
         trials: relay.releases().build_reports(Instant::now()),
         loads: relay.loads().take(Instant::now()),
         lives: relay.servers.unreported_incarnations(),
-        quarantine: relay.quarantine().tell(Instant::now()),
+        quarantine: relay.quarantine().report(Instant::now()),
         turn,
         after: news.base_seq,
         relays: relay.known_relay_count(),
--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -231,18 +231,18 @@
     }
 
     /// Takes a box's word of servers that ended; the word of held requests that is news to it.
-    fn record_ends(&mut self, word: EndReport, now: Instant) -> Option<QuarantineUpdate> {
-        let (has, unix) = (word.has, UnixMillis::now());
-        self.quarantine.hear(word, now);
-        let changes = self.quarantine.judge(now, unix);
-        for request in &changes.held {
-            let ends = self.quarantine.ends_of(request);
+    fn record_ends(&mut self, word: QuarantineReport, now: Instant) -> Option<QuarantineUpdate> {
+        let (has, unix) = (word.known_version, UnixMillis::now());
+        self.quarantine.apply_report(word, now);
+        let changes = self.quarantine.evaluate(now, unix);
+        for request in &changes.added {
+            let ends = self.quarantine.crash_count(request);
             tracing::warn!(event = "request_judged", %request, ends, held = true);
         }
         for request in &changes.lifted {
             tracing::warn!(event = "request_judged", %request, held = false);
         }
-        self.quarantine.word(has, rand::random(), unix)
+        self.quarantine.update_for(has, rand::random(), unix)
     }
 
     /// Leases a box shares of the limits that servers named to it.
@@ -366,7 +366,7 @@
     pub(super) fn has_notes(&mut self) -> bool {
         self.low.is_none()
             || !self.lacking.is_empty()
-            || self.quarantine.to_note().is_some()
+            || self.quarantine.pending_change().is_some()
             || self.presence.next_note(Instant::now()).is_some()
     }
 
@@ -500,7 +500,7 @@
     let noted = node.board.quarantine();
     let (reply, is_lacking) = node.with_lead(term, |lead| {
         if lead.quarantine.is_known() {
-            lead.quarantine.follow(noted);
+            lead.quarantine.apply_replicated(noted);
         }
         let reply = HeartbeatReply {
             document,
--- a/src/control/notes.rs
+++ b/src/control/notes.rs
@@ -41,7 +41,7 @@
         match node.propose_here(command, SETTLE_TIME).await {
             Some(Reply::Quarantine(noted)) => {
                 tracing::info!(event = "quarantine_noted", requests = noted.len(), term = %term);
-                node.with_lead(term, |lead| lead.quarantine.follow(noted));
+                node.with_lead(term, |lead| lead.quarantine.apply_replicated(noted));
             }
             Some(Reply::Notes(notes)) => {
                 tracing::info!(
@@ -51,7 +51,7 @@
                 let quarantine = node.board.quarantine();
                 node.with_lead(term, |lead| {
                     lead.take_notes(notes);
-                    lead.quarantine.follow(quarantine);
+                    lead.quarantine.apply_replicated(quarantine);
                 });
             }
             Some(_) | None => tracing::warn!(event = "not_noted", term = %term),
@@ -66,7 +66,7 @@
         if self.low.is_none() {
             return Some(Command::ReadNotes);
         }
-        if let Some(change) = self.quarantine.to_note() {
+        if let Some(change) = self.quarantine.pending_change() {
             return Some(Command::ChangeQuarantine(change));
         }
         if let Some(relays) = self.presence.next_note(Instant::now()) {
--- a/src/relay/ends.rs
+++ b/src/relay/ends.rs
@@ -14,7 +14,7 @@
 use super::known::Known;
 use super::quarantine;
 use crate::backend::SendFault;
-use crate::decide::ends::ToldEnd;
+use crate::decide::ends::CrashReport;
 use crate::ids::{BackendId, Fingerprint};
 use crate::sync::lock;
 
@@ -44,9 +44,9 @@
 }
 
 impl Broken {
-    fn told(&self) -> ToldEnd {
+    fn told(&self) -> CrashReport {
         let server = &self.known.server;
-        ToldEnd {
+        CrashReport {
             server: server.id.clone(),
             data_centre: server.data_centre.clone(),
             requests: self.requests.iter().copied().collect(),
--- a/src/relay/quarantine.rs
+++ b/src/relay/quarantine.rs
@@ -5,8 +5,8 @@
 
 use super::Relay;
 use super::call::Call;
-use crate::decide::ends::ToldEnd;
-use crate::decide::quarantine::{Changes, EndReport, QuarantineUpdate};
+use crate::decide::ends::CrashReport;
+use crate::decide::quarantine::{QuarantineDelta, QuarantineReport, QuarantineUpdate};
 use crate::error::{Failure, Kind};
 
 /// Whether a call's request is kept from all servers.
@@ -20,7 +20,7 @@
         return Ok(());
     }
     let request = call.fingerprint();
-    let left = relay.quarantine().left(&request, Instant::now());
+    let left = relay.quarantine().remaining(&request, Instant::now());
     match left {
         None => Ok(()),
         Some(left) => {
@@ -40,8 +40,8 @@
 }
 
 /// Takes that a server ended, and has the leader hear of it at once.
-pub(super) fn record_end(relay: &Relay, told: ToldEnd) {
-    let (changes, is_news) = relay.quarantine().record_end(told, Instant::now());
+pub(super) fn record_end(relay: &Relay, told: CrashReport) {
+    let (changes, is_news) = relay.quarantine().record_crash(told, Instant::now());
     say(&changes);
     if is_news {
         relay.heartbeat_requested.notify_one();
@@ -51,11 +51,11 @@
 /// Takes the leader's answer to a word.
 pub(crate) fn take_answer(
     relay: &Relay,
-    told: &EndReport,
+    told: &QuarantineReport,
     word: Option<QuarantineUpdate>,
     lacks: bool,
 ) {
-    let (changes, is_urgent) = relay.quarantine().answered(told, word, lacks, Instant::now());
+    let (changes, is_urgent) = relay.quarantine().apply_reply(told, word, lacks, Instant::now());
     say(&changes);
     if is_urgent {
         relay.heartbeat_requested.notify_one();
@@ -63,8 +63,8 @@
 }
 
 /// One line for each request that is kept from servers from now on, or no longer.
-fn say(changes: &Changes) {
-    for request in &changes.held {
+fn say(changes: &QuarantineDelta) {
+    for request in &changes.added {
         tracing::warn!(event = "request_quarantined", %request);
     }
     for request in &changes.lifted {
--- a/tests/control_bytes.rs
+++ b/tests/control_bytes.rs
@@ -9,7 +9,7 @@
 use emberturn::decide::engine::EngineModel;
 use emberturn::decide::intervals::HEARTBEAT_INTERVAL;
 use emberturn::decide::loads::LoadSample;
-use emberturn::decide::quarantine::{EndReport, QuarantineUpdate, ToldHeld};
+use emberturn::decide::quarantine::{QuarantineReport, QuarantineUpdate, QuarantinedRequest};
 use emberturn::decide::releases::ReleaseUpdate;
 use emberturn::decide::throttle::{LimitLease, LimitNotice, LimitReport, Throttles};
 use emberturn::ids::{
@@ -149,7 +149,7 @@
         trials: BTreeMap::new(),
         loads: loads(fleet, fleet.told),
         lives: Vec::new(),
-        quarantine: EndReport::default(),
+        quarantine: QuarantineReport::default(),
         turn: 4_000,
         after: 3_999,
         relays: Some(300),
@@ -346,12 +346,14 @@
 #[test]
 fn held_requests_cost_nothing_to_speak_of_while_there_are_none() {
     let fleet = &FLEETS[0].1;
-    let quarantine = EndReport { has: u64::MAX, ..EndReport::default() };
+    let quarantine = QuarantineReport { known_version: u64::MAX, ..QuarantineReport::default() };
     let more = packed(&BoxHeartbeat { quarantine, ..beat(fleet) }) - packed(&beat(fleet));
     assert!(more <= 12, "{more} bytes");
-    let held =
-        |number: u8| ToldHeld { request: Fingerprint([number; 16]), left: Millis(24 * 3_600_000) };
-    let word = QuarantineUpdate { mark: u64::MAX, held: (0..3).map(held).collect() };
+    let held = |number: u8| QuarantinedRequest {
+        request: Fingerprint([number; 16]),
+        remaining: Millis(24 * 3_600_000),
+    };
+    let word = QuarantineUpdate { version: u64::MAX, requests: (0..3).map(held).collect() };
     let told = packed(&HeartbeatReply { quarantine: Some(word), ..reply(fleet) });
     let news = told - packed(&reply(fleet));
     println!("{more} bytes of each word, {news} of an answer that tells three");
