--- a/src/decide/ends.rs
+++ b/src/decide/ends.rs
@@ -1,12 +1,15 @@
-//! Under which requests backend servers ended, and which of them ends its servers.
+//! Records which backend servers crashed under which requests, and finds the poison requests: those
+//! that crash their servers.
 //!
-//! When a server ends, all that ran on it is under suspicion, and mostly one request of many is to blame. So
-//! not every end counts against every request that was there:
+//! When a server crashes, every request that ran on it is a suspect, but usually only one is to
+//! blame. So not every crash counts against every request:
 //!
-//! - an end is explained by the request under which most servers have ended, and counts against no other;
-//! - servers of one data centre that end at the same moment were lost together: that counts only against a
-//!   request that ran on most of them;
-//! - a server that was leaving is taken back, and a request that any server has answered ends none.
+//! - A crash is attributed to the request under which the most servers crashed, and counts against
+//!   no other.
+//! - Servers of one data centre that crash at the same moment are treated as an outage, which
+//!   counts only against requests that ran on most of them.
+//! - Crashes of a server that was leaving are removed, and a request that any server has answered
+//!   is cleared.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
@@ -16,38 +19,43 @@
 use crate::ids::{BackendId, DataCentre, Fingerprint};
 use crate::units::Millis;
 
-/// Servers that have to end under a request before it is kept from all others. One or two happen to anybody
-/// beside a request that ends servers; each one more costs all that runs there.
+/// Number of servers that have to crash under a request before it is quarantined. One or two
+/// crashes also happen to other requests that run beside a poison request, and each further one
+/// costs everything that runs on the server.
 pub const CRASHES_TO_QUARANTINE: usize = 3;
 
-/// How long an end counts: a caller that comes less often ends a few servers a day.
+/// How long a crash counts. A caller that sends a poison request less often crashes only a few
+/// servers a day.
 pub const CRASH_EXPIRY: Duration = Duration::from_secs(24 * 3_600);
 
-/// Ends remembered; the oldest go first. A storm ended 64 servers before it was stopped.
+/// Maximum number of crashes remembered; the oldest are dropped first. A burst of poison requests
+/// crashed 64 servers before it was stopped.
 const MAX_CRASHES: usize = 256;
 
-/// Requests remembered for one end: more than run on a server at a time.
+/// Maximum number of requests remembered for one crash: more than run on a server at the same time.
 const MAX_REQUESTS_PER_CRASH: usize = 256;
 
-/// Boxes hear of one end within this time of each other. No server is back and ends again within it.
+/// Reports of boxes on the same crash lie within this time of each other. No server restarts and
+/// crashes again within it.
 const SAME_CRASH_WINDOW: Duration = Duration::from_secs(1);
 
-/// Servers that are lost together end within this time of each other, as boxes see it.
+/// Servers that fail in the same outage crash within this time of each other, as seen by boxes.
 const OUTAGE_WINDOW: Duration = Duration::from_millis(100);
 
-/// So many servers of a data centre at the same moment are a loss, not the doing of one request.
+/// Number of servers of one data centre that have to crash at the same moment to be treated as an
+/// outage rather than the effect of one request.
 const MIN_OUTAGE_SERVERS: usize = 3;
 
-/// An end as a box tells it.
+/// A crash as reported by a box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
     /// The server.
     pub server: BackendId,
-    /// Where it was.
+    /// Its data centre.
     pub data_centre: DataCentre,
-    /// What ran there.
+    /// The requests that ran on it.
     pub requests: Vec<Fingerprint>,
-    /// How long ago it ended.
+    /// Time since the crash.
     pub age: Millis,
 }
 
@@ -57,7 +65,7 @@
     data_centre: DataCentre,
     at: Instant,
     requests: BTreeSet<Fingerprint>,
-    /// Whether others are still to hear of it as it is now.
+    /// Whether the crash has been reported with all its requests.
     is_reported: bool,
 }
 
@@ -68,14 +76,14 @@
     }
 }
 
-/// The ends that count.
+/// The crashes that currently count.
 #[derive(Debug, Default)]
 pub struct CrashTracker {
     crashes: Vec<Crash>,
 }
 
 impl CrashTracker {
-    /// Takes an end; whether anything about it is new.
+    /// Records a crash. Returns whether any of it is new.
     pub fn record(&mut self, report: CrashReport, now: Instant) -> bool {
         let at = now.checked_sub(report.age.duration()).unwrap_or(now);
         self.crashes.retain(|crash| crash.at + CRASH_EXPIRY > now);
@@ -105,12 +113,12 @@
         }
     }
 
-    /// Forgets what counts against a request; whether anything did.
+    /// Clears a request of all crashes. Returns whether it was a suspect of any.
     pub fn clear_request(&mut self, request: &Fingerprint) -> bool {
         self.crashes.iter_mut().fold(false, |any, crash| crash.requests.remove(request) | any)
     }
 
-    /// Forgets the ends of a server that was leaving; what ran there.
+    /// Removes the crashes of a server that was leaving. Returns the requests that ran on it.
     pub fn remove_server(&mut self, server: &BackendId) -> BTreeSet<Fingerprint> {
         let (removed, rest) = std::mem::take(&mut self.crashes)
             .into_iter()
@@ -119,22 +127,22 @@
         removed.into_iter().flat_map(|crash| crash.requests).collect()
     }
 
-    /// Whether nothing ended.
+    /// Whether no crash is known.
     pub fn is_empty(&self) -> bool {
         self.crashes.is_empty()
     }
 
-    /// Servers that ended under a request, whatever explains it.
+    /// Number of servers that crashed under a request, including crashes attributed to another one.
     pub fn crash_count(&self, request: &Fingerprint) -> usize {
         self.crashes.iter().filter(|crash| crash.requests.contains(request)).count()
     }
 
-    /// Whether others are still to hear of an end under a request.
+    /// Whether a crash under the request has not been reported yet.
     pub fn has_unreported(&self, request: &Fingerprint) -> bool {
         self.crashes.iter().any(|crash| !crash.is_reported && crash.requests.contains(request))
     }
 
-    /// Ends of which others are still to hear, `limit` at most.
+    /// Returns the crashes that have not been reported yet, at most `limit`.
     pub fn unreported(&self, now: Instant, limit: usize) -> Vec<CrashReport> {
         let unreported = self.crashes.iter().filter(|crash| !crash.is_reported).take(limit);
         unreported
@@ -147,7 +155,7 @@
             .collect()
     }
 
-    /// Notes that others have heard of these.
+    /// Marks the crashes in `report` as reported.
     pub fn mark_reported(&mut self, report: &[CrashReport]) {
         for crash in &mut self.crashes {
             let same = report.iter().find(|it| it.server == crash.server);
@@ -155,19 +163,20 @@
         }
     }
 
-    /// Notes that whoever is told now has heard of none.
+    /// Marks all crashes as not reported, for a receiver that knows none of them.
     pub fn mark_all_unreported(&mut self) {
         self.crashes.iter_mut().for_each(|crash| crash.is_reported = false);
     }
 
-    /// The requests that end their servers: again and again the one under which most ends are not explained
-    /// yet, as long as there are [`CRASHES_TO_QUARANTINE`] of them.
+    /// Returns the poison requests. Repeatedly picks the request with the most crashes that are not
+    /// attributed yet, as long as there are at least [`CRASHES_TO_QUARANTINE`] of them.
     pub fn poison_requests(&self) -> BTreeSet<Fingerprint> {
         let mut unexplained: Vec<BTreeSet<Fingerprint>> = self.suspects();
         let mut poison = BTreeSet::new();
         loop {
             let counts = count_requests(unexplained.iter());
-            // Of several with as many, the one whose last end is the newest: one that ends servers goes on.
+            // Of several requests with equally many crashes, pick the one whose last crash is the
+            // most recent, as a poison request goes on crashing servers.
             let last_crash = |request: &Fingerprint| {
                 let crashes = self.crashes.iter().filter(|crash| crash.requests.contains(request));
                 crashes.map(|crash| crash.at).max()
@@ -185,7 +194,7 @@
         }
     }
 
-    /// The requests against which each end counts.
+    /// Returns the suspects of each crash.
     fn suspects(&self) -> Vec<BTreeSet<Fingerprint>> {
         let mut ordered: Vec<&Crash> = self.crashes.iter().collect();
         ordered.sort_by(|a, b| (&a.data_centre, a.at).cmp(&(&b.data_centre, b.at)));
@@ -195,7 +204,7 @@
     }
 }
 
-/// How many of the sets each request is in.
+/// Counts in how many of the sets each request is.
 fn count_requests<'a>(
     sets: impl Iterator<Item = &'a BTreeSet<Fingerprint>>,
 ) -> HashMap<Fingerprint, usize> {
@@ -206,7 +215,8 @@
     counts
 }
 
-/// The requests against which ends at the same moment in one data centre count.
+/// Returns the suspects of each of a group of crashes that happened at the same moment in one data
+/// centre.
 fn suspects_in_group(crashes: &[&Crash]) -> Vec<BTreeSet<Fingerprint>> {
     let all = crashes.iter().map(|crash| crash.requests.clone());
     if crashes.len() < MIN_OUTAGE_SERVERS {
--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -1,9 +1,11 @@
-//! Requests that end the servers they run on are kept from all servers: at once by the box that saw it, and by
-//! every box as soon as the leader knows.
+//! Quarantines poison requests: requests that crash the backend servers they run on are no longer
+//! sent to any server. The box that sees it stops at once, and all other boxes as soon as the
+//! leader knows.
 //!
-//! Each attempt of a caller is a new request at any box, so the count is the fleet's. Boxes tell the leader
-//! which servers ended under which requests; the leader judges ([`super::ends`]), has the group note it and
-//! tells all boxes. A box that no leader answers goes by what it has seen itself.
+//! A caller that retries may reach any box, so crashes have to be counted over the whole fleet.
+//! Boxes report to the leader which servers crashed under which requests. The leader finds the
+//! poison requests ([`super::ends`]), has the group replicate the list and announces it to all
+//! boxes. A box that cannot reach a leader acts on what it has seen itself.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,74 +18,77 @@
 use crate::state::quarantine::{QuarantineBook, QuarantineChange};
 use crate::units::{Millis, UnixMillis};
 
-/// How long a request is kept from servers: software that ends under it is seldom mended sooner, and each
-/// try costs three servers. Operators lift it when it is.
+/// How long a request is quarantined. Software that crashes under a request is seldom fixed sooner,
+/// and each new try costs three servers. Once it is fixed, operators can lift the quarantine.
 pub const QUARANTINE_TIME: Duration = Duration::from_secs(24 * 3_600);
 
-/// Requests that are held at most; those held for the shortest time yet are the last to go.
+/// Maximum number of quarantined requests. Once it is reached, further poison requests are not
+/// quarantined.
 const MAX_QUARANTINED: usize = 1_024;
 
-/// Ends that one word to the leader tells at most; the others follow.
+/// Maximum number of crashes in one report to the leader. The others follow in later reports.
 const MAX_REPORTED_CRASHES: usize = 16;
 
-/// A request that a server answered no longer ago than this ends none. Where a new release does what the former
-/// one did not, this is how much longer it is let through.
+/// A request that a server answered within this time is not a poison request. When a new release
+/// crashes under a request that the former release answered, the request gets through for this much
+/// longer.
 const ANSWERED_TIME: Duration = Duration::from_secs(10);
 
-/// Requests remembered as answered: all of [`ANSWERED_TIME`] at 100 a second.
+/// Number of slots for answered requests: enough for [`ANSWERED_TIME`] at 100 requests per second.
 const ANSWERED_SLOTS: usize = 1_024;
 
-/// Time in which the leader has to have read the platform's list to tell a server that left from one that
-/// ended.
+/// How long servers that are shown as leaving are remembered. Within this time the leader must have
+/// read the platform's list to tell a server that left from one that crashed.
 const LEAVING_MEMORY: Duration = Duration::from_secs(60);
 
-/// Time between two judgements: one goes through all ends, and with a data centre hundreds of boxes tell of
-/// hundreds at once. A fifth of a box's usual time between two words.
+/// Minimum time between two evaluations. An evaluation visits all crashes, and when a data centre
+/// fails, hundreds of boxes report hundreds of crashes at once. A fifth of the usual heartbeat
+/// interval of a box.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(80);
 
-/// Requests that one box tells as answered at most, until it has told them.
+/// Maximum number of answered requests that a box keeps until it has reported them.
 const MAX_CLEARED: usize = 64;
 
-/// A request that is held, on its way to a box.
+/// A quarantined request as announced to a box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantinedRequest {
     /// The request.
     pub request: Fingerprint,
-    /// For how much longer.
+    /// For how much longer it is quarantined.
     #[serde(rename = "left")]
     pub remaining: Millis,
 }
 
-/// What a box tells the leader.
+/// What a box reports to the leader.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineReport {
-    /// Servers that ended under its requests, as far as that is news.
+    /// Crashes under the box's requests that the leader does not know yet.
     #[serde(rename = "ends")]
     pub crashes: Vec<CrashReport>,
-    /// Requests that are held or suspected and that a server has answered.
+    /// Requests that were quarantined or suspected and that a server has answered.
     pub cleared: Vec<Fingerprint>,
-    /// Which word of the leader it has; 0 for none.
+    /// Version of the last update that the box has received; 0 if none.
     #[serde(rename = "has")]
     pub known_version: u64,
 }
 
-/// What the leader tells a box.
+/// The quarantine as the leader announces it to a box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineUpdate {
-    /// Which word this is; not 0.
+    /// Version of this update; never 0.
     #[serde(rename = "mark")]
     pub version: u64,
-    /// All requests that are held.
+    /// All quarantined requests.
     #[serde(rename = "held")]
     pub requests: Vec<QuarantinedRequest>,
 }
 
-/// What a word changes for somebody who logs it.
+/// The difference between two states of the quarantine, for logging.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct QuarantineDelta {
-    /// Requests that are held from now on.
+    /// Requests that are now quarantined.
     pub added: Vec<Fingerprint>,
-    /// Requests that are let through again.
+    /// Requests that are no longer quarantined.
     pub lifted: Vec<Fingerprint>,
 }
 
@@ -94,8 +99,8 @@
     }
 }
 
-/// The requests that a server answered lately. Each has one place, so whoever sends many others can only have it
-/// forgotten.
+/// Requests that a server answered recently. Each request maps to a fixed slot, so other requests
+/// can only displace it, not mark it as answered.
 #[derive(Debug)]
 struct RecentAnswers {
     slots: Vec<Option<(Fingerprint, Instant)>>,
@@ -122,22 +127,22 @@
     }
 }
 
-/// A box's side.
+/// The quarantine at a box.
 #[derive(Debug, Default)]
 pub struct BoxQuarantine {
-    /// What the leader told, and until when each is held.
+    /// Requests that the leader has announced, and until when each is quarantined.
     announced: BTreeMap<Fingerprint, Instant>,
     version: u64,
-    /// Servers that ended under this box's requests.
+    /// Servers that crashed under this box's requests.
     crashes: CrashTracker,
-    /// What ends its servers by those ends, and the leader has not heard of.
+    /// Poison requests by these crashes, as long as the leader does not know of the crashes.
     local: BTreeSet<Fingerprint>,
     answered: RecentAnswers,
     cleared: BTreeSet<Fingerprint>,
 }
 
 impl BoxQuarantine {
-    /// For how much longer a request is kept from servers; `None` where it is not.
+    /// For how much longer a request is quarantined; `None` if it is not.
     pub fn remaining(&self, request: &Fingerprint, now: Instant) -> Option<Duration> {
         let announced =
             self.announced.get(request).map(|until| until.saturating_duration_since(now));
@@ -145,18 +150,19 @@
         announced.max(local).filter(|remaining| !remaining.is_zero())
     }
 
-    /// Whether no request is kept from servers.
+    /// Whether no request is quarantined.
     pub fn is_empty(&self) -> bool {
         self.announced.is_empty() && self.local.is_empty()
     }
 
-    /// Requests that are kept from servers.
+    /// Number of quarantined requests.
     pub fn len(&self) -> usize {
         self.announced.len()
             + self.local.iter().filter(|it| !self.announced.contains_key(it)).count()
     }
 
-    /// Takes that a server ended; the changes, and whether that is news for the leader.
+    /// Records a crash. Returns what changes, and whether there is something new to report to the
+    /// leader.
     pub fn record_crash(&mut self, report: CrashReport, now: Instant) -> (QuarantineDelta, bool) {
         let before = self.all_requests();
         let is_new = self.crashes.record(report, now);
@@ -164,8 +170,8 @@
         (QuarantineDelta::between(&before, &self.all_requests()), is_new)
     }
 
-    /// Takes that a server answered a request, well or not: it did not end under it. Whether that is news for
-    /// the leader.
+    /// Records that a server answered a request, successfully or not, and hence did not crash under
+    /// it. Returns whether there is something new to report to the leader.
     pub fn record_success(&mut self, request: Fingerprint, now: Instant) -> bool {
         self.answered.record(request, now);
         let suspected = !self.crashes.is_empty() && self.crashes.clear_request(&request);
@@ -181,7 +187,7 @@
         self.cleared.len() < MAX_CLEARED && self.cleared.insert(request)
     }
 
-    /// What the leader is to be told.
+    /// Builds the report to the leader.
     pub fn report(&self, now: Instant) -> QuarantineReport {
         let crashes = self.crashes.unreported(now, MAX_REPORTED_CRASHES);
         QuarantineReport {
@@ -191,8 +197,10 @@
         }
     }
 
-    /// Takes the answer to a word: the leader has heard it, and may have told something. One that `lacks` what
-    /// it was told before is told all again. The changes, and whether something is left to tell at once.
+    /// Applies the leader's reply to `report`: the leader knows its content now, and may have sent
+    /// an update. `resend` says that the leader has lost what was reported earlier, so that
+    /// everything is reported again. Returns what changes, and whether something should be reported
+    /// at once.
     pub fn apply_reply(
         &mut self,
         report: &QuarantineReport,
@@ -218,7 +226,8 @@
         self.version = update.version;
         let until = |it: QuarantinedRequest| (it.request, now + it.remaining.duration());
         let announced: BTreeMap<_, _> = update.requests.into_iter().map(until).collect();
-        // What was lifted starts anew: told again, its ends would have the next leader hold it.
+        // A request whose quarantine was lifted starts afresh. If its crashes were reported again,
+        // the next leader would quarantine it again.
         for request in self.announced.keys().filter(|request| !announced.contains_key(request)) {
             self.crashes.clear_request(request);
         }
@@ -235,7 +244,8 @@
         }
     }
 
-    /// The leader sees more than this box: what it has heard, it judges.
+    /// Recomputes the poison requests known only to this box. Crashes that the leader knows of are
+    /// left to the leader, which sees more than this box.
     fn update_local(&mut self) {
         let poison = self.crashes.poison_requests();
         self.local =
@@ -247,33 +257,34 @@
     }
 }
 
-/// The leader's side.
+/// The quarantine at the leader.
 #[derive(Debug, Default)]
 pub struct FleetQuarantine {
     crashes: CrashTracker,
     quarantined: QuarantineBook,
-    /// What is held by the ends that this leader knows.
+    /// Poison requests by the crashes that this leader knows of.
     poison: BTreeSet<Fingerprint>,
-    /// Whether something came since the last judgement, and when that was.
+    /// Whether there were changes since the last evaluation, and when that was.
     is_dirty: bool,
     evaluated_at: Option<Instant>,
-    /// Servers that were shown as leaving.
+    /// Servers that were shown as leaving, and when.
     leaving: BTreeMap<BackendId, Instant>,
-    /// What the group has noted; `None` before that is known.
+    /// The quarantine as replicated by the group; `None` until it is known.
     replicated: Option<Arc<QuarantineBook>>,
-    /// What was held at the last judgement.
+    /// What was quarantined at the last evaluation.
     reported: BTreeSet<Fingerprint>,
-    /// What boxes were told last, and which word that was.
+    /// The version of the last update for boxes, and the requests in it.
     announced: Option<(u64, BTreeSet<Fingerprint>)>,
 }
 
 impl FleetQuarantine {
-    /// Whether this leader knows what the group has noted.
+    /// Whether this leader knows the replicated quarantine.
     pub fn is_known(&self) -> bool {
         self.replicated.is_some()
     }
 
-    /// Takes what the group has noted. What it no longer holds was lifted, by an operator or a former leader.
+    /// Applies the replicated quarantine. Requests that it no longer contains were lifted by an
+    /// operator or a former leader.
     pub fn apply_replicated(&mut self, replicated: Arc<QuarantineBook>) {
         if self.replicated.as_ref().is_some_and(|known| Arc::ptr_eq(known, &replicated)) {
             return;
@@ -289,7 +300,7 @@
         }
     }
 
-    /// Takes a box's word.
+    /// Applies the report of a box.
     pub fn apply_report(&mut self, report: QuarantineReport, now: Instant) {
         for crash in report.crashes {
             if !self.leaving.contains_key(&crash.server) {
@@ -302,7 +313,8 @@
         }
     }
 
-    /// Takes which servers the platform shows as leaving: their ends are no request's doing.
+    /// Records which servers the platform shows as leaving. No request is blamed for the end of
+    /// such a server.
     pub fn record_leaving<'a>(
         &mut self,
         leaving: impl Iterator<Item = &'a BackendId>,
@@ -331,7 +343,7 @@
         self.quarantined.remove(request);
     }
 
-    /// Judges anew what has come; the changes since the last judgement.
+    /// Re-evaluates the crashes if there are new ones. Returns what changed since the last call.
     pub fn evaluate(&mut self, now: Instant, unix: UnixMillis) -> QuarantineDelta {
         self.quarantined.retain(|_, until| *until > unix);
         let is_due = self.evaluated_at.is_none_or(|at| at + EVALUATION_INTERVAL <= now);
@@ -348,8 +360,8 @@
     fn evaluate_crashes(&mut self, unix: UnixMillis) {
         let poison = self.crashes.poison_requests();
         for request in self.poison.difference(&poison) {
-            // Its ends are another one's. Where they were only forgotten, as after a great many others, it
-            // stays held.
+            // The crashes are now explained by another request. If they were only forgotten, for
+            // instance because there were a great many others, the request stays quarantined.
             if self.crashes.crash_count(request) >= CRASHES_TO_QUARANTINE {
                 self.quarantined.remove(request);
             }
@@ -363,12 +375,12 @@
         self.poison = poison;
     }
 
-    /// Servers that ended under a request, as far as this leader knows.
+    /// Number of servers that crashed under a request, as far as this leader knows.
     pub fn crash_count(&self, request: &Fingerprint) -> usize {
         self.crashes.crash_count(request)
     }
 
-    /// What the group is to note, where it holds something else.
+    /// The change that the group has to replicate, if its state differs.
     pub fn pending_change(&self) -> Option<QuarantineChange> {
         let replicated = self.replicated.as_ref()?;
         let added =
@@ -379,8 +391,9 @@
         (!change.is_empty()).then_some(change)
     }
 
-    /// The word for a box that has the one marked `has`; none before this leader knows what the group has
-    /// noted, so that a box keeps what it was told before. `mark` is for a new word.
+    /// The update for a box that has version `known_version`, if it needs one. `None` also until
+    /// this leader knows the replicated quarantine, so that the box keeps what it was told before.
+    /// `new_version` is the version to use if the quarantine has changed since the last update.
     pub fn update_for(
         &mut self,
         known_version: u64,
