--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -22,7 +22,7 @@
 use crate::decide::lives;
 use crate::decide::loads::{self, LoadPool};
 use crate::decide::presence::{ABSENT_TIME, Presence};
-use crate::decide::quarantine::{EndReport, FleetQuarantine, QuarantineUpdate};
+use crate::decide::quarantine::{FleetQuarantine, QuarantineReport, QuarantineUpdate};
 use crate::decide::report_delta::{DeltaReceiver, ReportDelta};
 use crate::decide::throttle::{LimitLease, LimitReport};
 use crate::decide::token_bucket::{self, ReserveNote, TokenBucket, Tolerance};
