--- a/tests/connections.rs
+++ b/tests/connections.rs
@@ -1,4 +1,4 @@
-//! What a caller's connection is taken to be doing.
+//! The state that the gate tracks for a caller's connection.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -20,18 +20,19 @@
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// The last piece of an answer may be given up once the next request has begun: the connection is at that
-/// one, and whatever arrives then is no new head, whose time would end the answer.
+/// The last bytes of an answer can be dropped after the next request has begun. The connection must
+/// still count as busy: if it counted as waiting for a head, the head timeout would end the answer
+/// to the next request.
 #[tokio::test]
-async fn connection_is_at_its_request_although_an_earlier_answer_is_given_up_late() {
+async fn connection_stays_busy_when_an_earlier_answer_is_dropped_late() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let gate = Gate::new(LIMITS);
     let held: Arc<Mutex<Vec<Arc<Busy>>>> = Arc::default();
     let (begun, go) = (Arc::new(Notify::new()), Arc::new(Notify::new()));
-    let (keeping, starting, waiting) = (held.clone(), begun.clone(), go.clone());
+    let (handler_held, handler_begun, handler_go) = (held.clone(), begun.clone(), go.clone());
     let handler = move |request: Request<Incoming>| {
-        let (held, begun, go) = (keeping.clone(), starting.clone(), waiting.clone());
+        let (held, begun, go) = (handler_held.clone(), handler_begun.clone(), handler_go.clone());
         async move {
             let busy = request.extensions().get::<Arc<Busy>>().unwrap().clone();
             let is_first = held.lock().unwrap().is_empty();
@@ -44,7 +45,7 @@
             Response::new(whole("answer"))
         }
     };
-    let refusal = || answer::failed(&Failure::new(Kind::TooManyCallers, "no place"));
+    let refusal = || answer::failed(&Failure::new(Kind::TooManyCallers, "too many connections"));
     let (_open, closing) = watch::channel(false);
     tokio::spawn(server::run(listener, gate.clone(), closing, handler, refusal));
     let mut stream = TcpStream::connect(addr).await.unwrap();
@@ -55,7 +56,7 @@
     begun.notified().await;
     assert_eq!(gate.counts(), (1, 0));
     held.lock().unwrap().clear();
-    assert_eq!(gate.counts(), (1, 0), "it rests while its second request is answered");
+    assert_eq!(gate.counts(), (1, 0), "it counts as idle while its second request is answered");
     go.notify_one();
     assert!(stream.read(&mut read).await.unwrap() > 0);
 }
--- a/tests/readers.rs
+++ b/tests/readers.rs
@@ -1,4 +1,4 @@
-//! What others write down, read field by field: what cannot be read spoils nothing beside it.
+//! Parsers of external input read field by field: an invalid value does not affect its neighbours.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -46,7 +46,7 @@
 }
 
 fn read(bytes: &[u8]) -> Listing {
-    read_page(bytes).expect("the frame is sound").listing
+    read_page(bytes).expect("the page itself is valid").listing
 }
 
 fn servers(numbers: &[usize]) -> Vec<Server> {
@@ -58,7 +58,7 @@
     servers.iter().map(|server| server.id.as_str()).collect()
 }
 
-/// An entry with one value written as these bytes.
+/// An entry in which one field has `value` as its raw bytes.
 fn with_raw(number: usize, name: &str, value: &[u8]) -> Vec<u8> {
     let mut fields = entry(number);
     fields.as_object_mut().unwrap().remove(name);
@@ -72,16 +72,16 @@
 
 const FIELDS: [&str; 7] = ["id", "service", "address", "zone", "version", "slots", "state"];
 
-/// A value of any type, also with what no reader takes.
+/// A JSON value of any type, including invalid ones.
 fn value() -> impl Strategy<Value = Vec<u8>> {
     let leaf = prop_oneof![
         any::<f64>().prop_map(|it| json!(it).to_string().into_bytes()),
         any::<i64>().prop_map(|it| it.to_string().into_bytes()),
         ".{0,12}".prop_map(|it| json!(it).to_string().into_bytes()),
-        // Bytes inside quotation marks that are no text.
+        // Quoted bytes that need not be UTF-8.
         prop::collection::vec(any::<u8>(), 0..12).prop_map(|bytes| {
-            let sound = bytes.into_iter().filter(|it| !matches!(it, b'"' | b'\\'));
-            [b"\"".to_vec(), sound.collect(), b"\"".to_vec()].concat()
+            let unquoted = bytes.into_iter().filter(|it| !matches!(it, b'"' | b'\\'));
+            [b"\"".to_vec(), unquoted.collect(), b"\"".to_vec()].concat()
         }),
         prop::sample::select(vec![
             &b"null"[..],
@@ -110,9 +110,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(1_024))]
 
-    /// Whatever one entry holds, the others are read as they are.
+    /// Whatever one entry contains, the others are read unchanged.
     #[test]
-    fn one_bad_entry_spoils_no_other(
+    fn bad_entry_does_not_affect_others(
         count in 1_usize..6,
         place in any::<prop::sample::Index>(),
         name in prop::sample::select(FIELDS.to_vec()),
@@ -129,38 +129,38 @@
         prop_assert!(servers(&others).iter().all(|server| found.contains(server)));
     }
 
-    /// A page that ends too early is no page.
+    /// A truncated page is rejected as a whole.
     #[test]
-    fn page_that_was_cut_is_no_page(count in 0_usize..4, cut in any::<prop::sample::Index>()) {
+    fn truncated_page_is_rejected(count in 0_usize..4, cut in any::<prop::sample::Index>()) {
         let whole = page(&entries(count));
         prop_assert!(read_page(&whole).is_some());
         prop_assert!(read_page(&whole[..cut.index(whole.len())]).is_none());
     }
 
-    /// One value of a report that cannot be read is not told; the others are.
+    /// An invalid value in a report is omitted; the other values are read.
     #[test]
-    fn one_bad_field_of_a_report_spoils_no_other(
+    fn bad_report_field_does_not_affect_others(
         name in prop::sample::select(vec!["born", "state", "num_running", "kv_used", "runs"]),
         value in value(),
     ) {
-        let sound = json!({"born": 17, "state": "draining", "num_running": 3, "num_waiting": 2});
-        let mut fields = sound.clone();
+        let valid = json!({"born": 17, "state": "draining", "num_running": 3, "num_waiting": 2});
+        let mut fields = valid.clone();
         fields.as_object_mut().unwrap().remove(name);
         let mut bytes = fields.to_string().into_bytes();
         bytes.pop();
         bytes.extend_from_slice(format!(",\"{name}\":").as_bytes());
         bytes.extend_from_slice(&value);
         bytes.push(b'}');
-        let sound = report::read(sound.to_string().as_bytes()).unwrap();
+        let valid = report::read(valid.to_string().as_bytes()).unwrap();
         let read = report::read(&bytes).unwrap();
-        prop_assert!(name == "born" || read.incarnation == sound.incarnation);
-        prop_assert!(name == "state" || read.leaving == sound.leaving);
-        prop_assert!(name == "num_running" || read.load == sound.load);
+        prop_assert!(name == "born" || read.incarnation == valid.incarnation);
+        prop_assert!(name == "state" || read.leaving == valid.leaving);
+        prop_assert!(name == "num_running" || read.load == valid.load);
     }
 
-    /// No bytes make a reader fail in another way than by its word.
+    /// No input makes a parser panic.
     #[test]
-    fn readers_take_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn readers_accept_arbitrary_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = (read_page(&bytes), report::read(&bytes), moves::read(&bytes));
         let _ = (document::read(&String::from_utf8_lossy(&bytes)), engine::Load::read(&bytes));
         if let Ok(value) = hyper::header::HeaderValue::from_bytes(&bytes) {
@@ -172,9 +172,9 @@
         }
     }
 
-    /// Events come out the same wherever their bytes are cut, or are refused at the same place.
+    /// Events are the same, or rejected at the same place, wherever the input is split into chunks.
     #[test]
-    fn events_are_read_wherever_they_are_cut(
+    fn events_are_parsed_independently_of_chunk_boundaries(
         pieces in prop::collection::vec(
             prop_oneof![
                 prop::sample::select(vec![&b"data: a"[..], b"\n\n", b"\r\n\r\n", b"id: 1\n", b"\xff"])
@@ -205,30 +205,30 @@
 }
 
 #[parameterized(
-    number_for_text = { "id", b"7" },
-    id_that_is_no_name = { "id", b"\"a b\"" },
-    id_that_is_no_text = { "id", b"\"i-\xff\"" },
+    id_as_number = { "id", b"7" },
+    id_with_invalid_character = { "id", b"\"a b\"" },
+    id_not_utf8 = { "id", b"\"i-\xff\"" },
     control_character = { "zone", b"\"a\x01\"" },
-    half_a_pair = { "zone", b"\"\\ud800\"" },
+    unpaired_surrogate = { "zone", b"\"\\ud800\"" },
     unknown_state = { "state", b"\"resting\"" },
-    state_of_another_type = { "state", b"[\"ready\"]" },
+    state_as_list = { "state", b"[\"ready\"]" },
     address_without_port = { "address", b"\"10.0.0.1\"" },
-    address_of_nobody = { "address", b"\"0.0.0.0:80\"" },
-    port_of_nobody = { "address", b"\"10.0.0.1:0\"" },
-    no_slots = { "slots", b"0" },
-    fewer_than_no_slots = { "slots", b"-1" },
-    slots_beyond_range = { "slots", b"4294967296" },
+    unspecified_address = { "address", b"\"0.0.0.0:80\"" },
+    port_zero = { "address", b"\"10.0.0.1:0\"" },
+    zero_slots = { "slots", b"0" },
+    negative_slots = { "slots", b"-1" },
+    slots_out_of_range = { "slots", b"4294967296" },
     slots_as_text = { "slots", b"\"12\"" },
-    part_of_a_slot = { "slots", b"1.5" },
+    fractional_slots = { "slots", b"1.5" },
     time_left_as_text = { "leaves_ms", b"\"soon\"" },
-    time_left_beyond_range = { "leaves_ms", b"1e999" },
+    time_left_out_of_range = { "leaves_ms", b"1e999" },
     spot_as_number = { "spot", b"1" },
     cold_as_text = { "cold_remaining_ms", b"\"long\"" },
-    stage_that_is_no_text = { "stage", b"\"\xff\"" },
+    stage_not_utf8 = { "stage", b"\"\xff\"" },
     models_as_text = { "models", b"\"m\"" },
     null = { "version", b"null" },
 )]
-fn entry_that_names_nobody_is_left_out(name: &str, value: &[u8]) {
+fn entry_with_an_invalid_field_is_skipped(name: &str, value: &[u8]) {
     let mut listed = entries(3);
     listed[1] = with_raw(1, name, value);
     let listing = read(&page(&listed));
@@ -249,7 +249,7 @@
     state = { "state" },
     id = { "id" },
 )]
-fn entry_without_a_field_is_left_out(name: &str) {
+fn entry_without_a_required_field_is_skipped(name: &str) {
     let mut listed = entries(3);
     let mut short = entry(1);
     short.as_object_mut().unwrap().remove(name);
@@ -264,9 +264,9 @@
     list = { b"[{\"id\":\"i-1\"}]" },
     empty = { b"{}" },
     no_value = { b"{\"id\"}" },
-    no_json = { b"?!" },
+    invalid_json = { b"?!" },
 )]
-fn entry_that_is_none_is_left_out(bytes: &[u8]) {
+fn malformed_entry_is_skipped(bytes: &[u8]) {
     let mut listed = entries(3);
     listed[1] = bytes.to_vec();
     let listing = read(&page(&listed));
@@ -274,33 +274,33 @@
 }
 
 #[test]
-fn field_that_is_there_twice_cannot_be_read() {
+fn duplicate_field_is_unreadable() {
     let fields = Fields::of(b"{\"a\":1,\"a\":1,\"b\":2}").unwrap();
     assert_eq!((fields.get::<u32>("a"), fields.get::<u32>("b")), (None, Some(2)));
 }
 
 #[test]
-fn lists_inside_each_other_without_end_are_no_page() {
+fn deeply_nested_lists_are_rejected() {
     let deep = [vec![b'['; 100_000], vec![b']'; 100_000]].concat();
     assert!(read_page(&page(&[deep])).is_none());
 }
 
 #[test]
-fn handle_of_a_move_is_read_beside_a_life_that_cannot_be() {
+fn move_handle_is_read_despite_an_invalid_incarnation() {
     let answer = moves::read(b"{\"handle\":7,\"made\":\"\xff\",\"born\":\"late\"}");
     assert_eq!((answer.handle.as_deref(), answer.incarnation), (Some("7"), Incarnation(0)));
 }
 
 #[test]
-fn load_of_an_engine_is_read_beside_fields_that_cannot_be() {
+fn engine_load_is_read_despite_invalid_fields() {
     let load = engine::Load::read(b"{\"running\":1,\"waiting\":2,\"age_ms\":-1,\"leaving_ms\":[]}");
     let load = load.unwrap();
     assert_eq!((load.running, load.waiting, load.age_ms, load.leaving_ms), (1, 2, 0, None));
 }
 
-/// The ids that a leader lists.
-fn listed(book: &ListRegistry) -> Vec<&str> {
-    let mut ids = ids(book.servers());
+/// The ids of the servers that a leader lists, sorted.
+fn listed(registry: &ListRegistry) -> Vec<&str> {
+    let mut ids = ids(registry.servers());
     ids.sort_unstable();
     ids
 }
@@ -314,52 +314,52 @@
 #[parameterized(
     by_id = { Some("i-1"), None, true },
     by_address = { None, Some(([10, 0, 0, 1], 1_001).into()), true },
-    of_another_id = { Some("i-7"), Some(([10, 0, 0, 1], 1_001).into()), false },
-    of_nobody = { None, None, false },
+    with_another_id = { Some("i-7"), Some(([10, 0, 0, 1], 1_001).into()), false },
+    without_id_or_address = { None, None, false },
 )]
-fn server_whose_entry_cannot_be_read_any_more_stays(
+fn server_with_an_unreadable_entry_stays_listed(
     id: Option<&str>,
     addr: Option<SocketAddr>,
     stays: bool,
 ) {
-    let mut book = ListRegistry::default();
-    book.apply_listing(Term(1), servers(&[0, 1]), Instant::now());
+    let mut registry = ListRegistry::default();
+    registry.apply_listing(Term(1), servers(&[0, 1]), Instant::now());
     for _ in 0..3 {
-        book.apply_listing(Term(1), unread(id, addr), Instant::now());
+        registry.apply_listing(Term(1), unread(id, addr), Instant::now());
         let expected: &[&str] = if stays { &["i-0", "i-1"] } else { &["i-0"] };
-        assert_eq!(listed(&book), expected);
+        assert_eq!(listed(&registry), expected);
     }
-    book.apply_listing(Term(1), servers(&[0]), Instant::now());
-    assert_eq!(listed(&book), ["i-0"], "it is gone from the list");
+    registry.apply_listing(Term(1), servers(&[0]), Instant::now());
+    assert_eq!(listed(&registry), ["i-0"], "the server is no longer in the list");
 }
 
 #[test]
-fn doubled_id_is_the_server_that_was_known() {
+fn duplicate_id_keeps_the_known_server() {
     let (known, mut other) = (servers(&[0, 1]), servers(&[1]));
     other[0].addr = ([10, 0, 0, 9], 9).into();
     let both = [other.clone(), known.clone()].concat();
-    let mut book = ListRegistry::default();
-    book.apply_listing(Term(1), both.clone(), Instant::now());
-    assert_eq!(listed(&book), ["i-0"], "nothing tells which one is meant");
-    let mut book = ListRegistry::default();
-    book.apply_listing(Term(1), known.clone(), Instant::now());
-    book.apply_listing(Term(1), both, Instant::now());
-    assert_eq!(book.servers().iter().map(|it| it.addr).collect::<Vec<_>>().len(), 2);
-    assert!(book.servers().contains(&known[1]));
+    let mut registry = ListRegistry::default();
+    registry.apply_listing(Term(1), both.clone(), Instant::now());
+    assert_eq!(listed(&registry), ["i-0"], "it is unknown which of the two is meant");
+    let mut registry = ListRegistry::default();
+    registry.apply_listing(Term(1), known.clone(), Instant::now());
+    registry.apply_listing(Term(1), both, Instant::now());
+    assert_eq!(registry.servers().iter().map(|it| it.addr).collect::<Vec<_>>().len(), 2);
+    assert!(registry.servers().contains(&known[1]));
 }
 
 #[test]
-fn entry_that_is_there_twice_is_one_and_leaving_if_one_says_so() {
+fn repeated_entry_is_listed_once_and_leaving_if_either_is() {
     let mut both = servers(&[0, 1, 1]);
-    let mut book = ListRegistry::default();
-    book.apply_listing(Term(1), both.clone(), Instant::now());
-    assert_eq!(listed(&book), ["i-0", "i-1"]);
+    let mut registry = ListRegistry::default();
+    registry.apply_listing(Term(1), both.clone(), Instant::now());
+    assert_eq!(listed(&registry), ["i-0", "i-1"]);
     both[2].leaving = true;
-    book.apply_listing(Term(1), both, Instant::now());
-    assert!(book.servers().iter().any(|it| it.leaving && it.id.as_str() == "i-1"));
+    registry.apply_listing(Term(1), both, Instant::now());
+    assert!(registry.servers().iter().any(|it| it.leaving && it.id.as_str() == "i-1"));
 }
 
-/// A platform whose pages are these in turn, and the last of them from then on.
+/// A platform that serves these pages in turn, and the last one from then on.
 async fn platform(pages: Vec<Vec<u8>>) -> (Client, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -374,21 +374,21 @@
 }
 
 #[tokio::test]
-async fn page_whose_frame_is_broken_is_asked_for_again() {
+async fn broken_page_is_requested_again() {
     let (client, asked) = platform(vec![b"{\"instances\":[".to_vec(), page(&entries(2))]).await;
     let listing = client.list(LIMIT).await.unwrap();
     assert_eq!((ids(&listing.servers), asked.load(Ordering::SeqCst)), (vec!["i-0", "i-1"], 2));
 }
 
 #[tokio::test]
-async fn page_that_stays_broken_ends_the_reading() {
+async fn repeatedly_broken_page_fails_the_listing() {
     let (client, asked) = platform(vec![b"{\"instances\":7}".to_vec()]).await;
     assert!(client.list(LIMIT).await.is_err());
     assert_eq!(asked.load(Ordering::SeqCst), 2);
 }
 
 #[tokio::test]
-async fn bytes_that_are_no_text_void_one_entry() {
+async fn invalid_utf8_skips_only_its_entry() {
     let mut listed = entries(2);
     listed.push(with_raw(2, "zone", b"\"\xc3\x28\""));
     let (client, _) = platform(vec![page(&listed)]).await;
--- a/tests/refusals.rs
+++ b/tests/refusals.rs
@@ -1,4 +1,4 @@
-//! The statuses that callers take as the word that a request has not run and never will.
+//! Statuses that callers take as a statement that the request has not run and will not run.
 
 #[path = "support/platform.rs"]
 #[allow(dead_code, reason = "each test takes what it needs")]
@@ -10,22 +10,26 @@
 use tokio::net::TcpStream;
 use yare::parameterized;
 
-/// The statuses that promise it.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+/// The statuses that imply that a request has not run.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 #[test]
-fn only_kinds_with_proof_have_a_status_that_promises_not_run() {
+fn statuses_that_imply_not_run_require_proof() {
     for kind in Kind::ALL {
         let answer = kind.answer();
-        let promises = PROMISES.contains(&answer.status.as_u16());
-        assert!(!promises || answer.run == RunState::NotRun, "{kind} answers {}", answer.status);
+        let implies_not_run = NOT_RUN_STATUSES.contains(&answer.status.as_u16());
+        assert!(
+            !implies_not_run || answer.run == RunState::NotRun,
+            "{kind} answers {}",
+            answer.status
+        );
     }
 }
 
-/// A stream's first server says nothing and is given up for a second one, which refuses: the first may still
-/// run it.
+/// A stream is given up on a silent first server, and the second server refuses it. The first
+/// server may still run the request.
 #[tokio::test]
-async fn stream_given_up_at_a_silent_server_is_not_called_not_run() {
+async fn stream_given_up_on_a_silent_server_is_not_reported_as_not_run() {
     let mut silent = StandIn::start("i-1", &[Act::Silent]).await;
     let full = StandIn::start("i-2", &[Act::Refuse]).await;
     let relay = TestRelay::empty().await;
@@ -40,9 +44,10 @@
     assert_eq!(reply.status, 504, "{reply:?}");
 }
 
-/// A repeatable request that goes to a second server beside a silent first one, where the second refuses.
+/// A repeatable request is also sent to a second server, which refuses it while the silent first
+/// server may still be running it.
 #[tokio::test]
-async fn request_still_under_way_is_not_called_not_run() {
+async fn request_still_in_progress_is_not_reported_as_not_run() {
     let mut first = StandIn::start("i-1", &[Act::Silent]).await;
     let second = StandIn::start("i-2", &[Act::Refuse]).await;
     let relay = TestRelay::empty().await;
@@ -60,38 +65,38 @@
 
 #[parameterized(
     failed = { Act::Fail(500) },
-    promise_of_its_own = { Act::Fail(503) },
-    misses_its_time = { Act::Fail(408) },
-    over_a_limit = { Act::Fail(429) },
+    status_503_without_not_run = { Act::Fail(503) },
+    status_408_without_not_run = { Act::Fail(408) },
+    status_429_without_not_run = { Act::Fail(429) },
     closed = { Act::Close },
     unsigned = { Act::Unsigned },
-    foreign = { Act::AnswerAs("r-other") },
+    answer_to_another_request = { Act::AnswerAs("r-other") },
     cut = { Act::CutAfter(0) },
 )]
 #[test_macro(tokio::test)]
-async fn request_that_a_server_may_have_run_is_not_called_not_run(act: Act) {
+async fn request_that_may_have_run_is_not_reported_as_not_run(act: Act) {
     let server = StandIn::start("i-1", &[act]).await;
     let relay = TestRelay::start(&[&server]).await;
     for name in ["once", "stream"] {
         let reply = relay.ask("POST", name).await;
-        assert!(!PROMISES.contains(&reply.status), "{name}: {reply:?}");
+        assert!(!NOT_RUN_STATUSES.contains(&reply.status), "{name}: {reply:?}");
     }
 }
 
-/// Each refusal of the relay's own comes before anything is sent.
+/// The relay refuses a request itself only before it has sent anything.
 #[parameterized(
     no_server = { "no_server", 503 },
-    over_the_limit = { "limit", 429 },
-    unsure_of_the_limit = { "unheard", 503 },
-    unsure_of_the_routes = { "unsure", 503 },
+    limit_exceeded = { "limit", 429 },
+    limit_unknown = { "no_leader", 503 },
+    routes_unknown = { "no_routes", 503 },
     slow_body = { "slow", 408 },
 )]
 #[test_macro(tokio::test)]
-async fn refusal_of_our_own_reaches_no_server(case: &str, status: u16) {
+async fn refused_request_reaches_no_server(case: &str, status: u16) {
     let server = StandIn::start("i-1", &[Act::Answer]).await;
     let relay = TestRelay::empty().await;
     let listed = if case == "no_server" { vec![] } else { vec![&server] };
-    if case != "unsure" {
+    if case != "no_routes" {
         relay.publish(&document(1, &usual_routes()));
     }
     relay.list(&listed);
@@ -100,8 +105,8 @@
             relay.allow_only(10.0);
             relay.ask("POST", "once").await
         }
-        // More may be left, but no leader answers.
-        "unheard" => {
+        // The team may have more allowance, but no leader answers.
+        "no_leader" => {
             relay.allow(10.0);
             relay.ask("POST", "once").await
         }
@@ -116,9 +121,9 @@
     assert_eq!(server.seen().len(), 0);
 }
 
-/// A request whose caller has gone before its body is whole runs nowhere, then or later.
+/// If the caller disconnects before its body is complete, the request never runs.
 #[tokio::test]
-async fn half_a_request_runs_nowhere() {
+async fn incomplete_request_reaches_no_server() {
     let server = StandIn::start("i-1", &[Act::Answer]).await;
     let relay = TestRelay::start(&[&server]).await;
     let mut stream = TcpStream::connect(relay.addr).await.unwrap();
@@ -126,7 +131,7 @@
          Api-Key: key-a\r\nContent-Length: 4\r\n\r\nbo";
     stream.write_all(head.as_bytes()).await.unwrap();
     stream.shutdown().await.unwrap();
-    // The connection ends once the relay has given the request up.
+    // The connection is closed once the relay has given up on the request.
     let mut answer = Vec::new();
     tokio::time::timeout(PATIENCE, stream.read_to_end(&mut answer)).await.unwrap().unwrap();
     assert_eq!(relay.ask("POST", "once").await.status, 200);
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -1,4 +1,5 @@
-//! The life of a request through a relay: whole answers, at most once, true refusals, streams.
+//! End-to-end tests of the relay's request handling: complete answers, at-most-once execution,
+//! correct refusals and event streams.
 
 #[path = "support/platform.rs"]
 #[allow(dead_code, reason = "each test takes what it needs")]
@@ -20,7 +21,7 @@
 }
 
 #[tokio::test]
-async fn answer_is_passed_byte_for_byte_with_what_vouches_for_it() {
+async fn answer_is_forwarded_unchanged_with_its_signature() {
     let server = StandIn::start("i-1", &[Act::Answer]).await;
     let relay = TestRelay::start(&[&server]).await;
     let reply = relay.ask("POST", "once").await;
@@ -36,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn server_sees_the_team_and_never_the_key() {
+async fn server_receives_the_team_but_not_the_api_key() {
     let server = StandIn::start("i-1", &[Act::Answer]).await;
     let relay = TestRelay::start(&[&server]).await;
     let headers = "Api-Key: key-a\r\nTenant: somebody-else\r\nKv-From: 1.2.3.4:5/6\r\n";
@@ -52,12 +53,12 @@
 #[parameterized(
     closed = { Act::Close, 502 },
     unsigned = { Act::Unsigned, 502 },
-    foreign = { Act::AnswerAs("r-other"), 502 },
+    answer_to_another_request = { Act::AnswerAs("r-other"), 502 },
     failed = { Act::Fail(500), 500 },
-    promise_without_word = { Act::Fail(503), 502 },
-    promise_without_word_429 = { Act::Fail(429), 502 },
+    status_503_without_not_run = { Act::Fail(503), 502 },
+    status_429_without_not_run = { Act::Fail(429), 502 },
 )]
-fn unrepeatable_request_that_may_have_run_is_sent_once(act: Act, status: u16) {
+fn non_repeatable_request_that_may_have_run_is_sent_once(act: Act, status: u16) {
     run(async {
         let first = StandIn::start("i-1", std::slice::from_ref(&act)).await;
         let second = StandIn::start("i-2", &[act]).await;
@@ -72,7 +73,7 @@
     refused = { Act::Refuse },
     misdirected = { Act::Misdirected },
 )]
-fn refused_send_goes_on_to_another_server(act: Act) {
+fn refused_request_is_sent_to_another_server(act: Act) {
     run(async {
         let first = StandIn::start("i-1", &[act]).await;
         let relay = TestRelay::start(&[&first]).await;
@@ -89,7 +90,7 @@
 }
 
 #[tokio::test]
-async fn misdirected_server_gets_nothing_more() {
+async fn server_that_answers_misdirected_receives_no_further_requests() {
     let gone = StandIn::start("i-1", &[Act::Misdirected]).await;
     let relay = TestRelay::start(&[&gone]).await;
     relay.ask("POST", "once").await;
@@ -105,7 +106,7 @@
     unsigned = { Act::Unsigned },
     silent = { Act::Silent },
 )]
-fn safe_request_goes_to_a_second_server(act: Act) {
+fn safe_request_is_retried_on_a_second_server(act: Act) {
     run(async {
         let first = StandIn::start("i-1", &[act]).await;
         let relay = TestRelay::empty().await;
@@ -122,7 +123,7 @@
 }
 
 #[tokio::test]
-async fn server_that_fails_one_route_is_passed_over_for_it_alone() {
+async fn server_that_fails_a_route_is_avoided_for_that_route_only() {
     let faulty = StandIn::start("i-1", &[Act::Fail(500), Act::Answer]).await;
     let sound = StandIn::start("i-2", &[Act::Answer]).await;
     let relay = TestRelay::start(&[&faulty]).await;
@@ -139,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn no_server_is_said_at_once_with_when_to_come_back() {
+async fn missing_server_is_reported_with_retry_after() {
     let relay = TestRelay::start(&[]).await;
     for name in ["safe", "once", "stream", "resumable"] {
         let reply = relay.ask("POST", name).await;
@@ -150,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn dead_address_proves_that_nothing_ran() {
+async fn refused_connection_is_reported_as_not_run() {
     let server = StandIn::start("i-1", &[Act::Answer]).await;
     let relay = TestRelay::start(&[&server]).await;
     let mut dead = server.listed("svc");
@@ -162,7 +163,7 @@
 }
 
 #[tokio::test]
-async fn stream_is_passed_whole() {
+async fn stream_is_forwarded_completely() {
     let server = StandIn::start("i-1", &[Act::Events(5)]).await;
     let relay = TestRelay::start(&[&server]).await;
     let reply = relay.ask("POST", "stream").await;
@@ -171,7 +172,7 @@
 }
 
 #[tokio::test]
-async fn cut_stream_that_may_be_resumed_goes_on_behind_the_last_event() {
+async fn resumable_stream_continues_after_the_last_event_on_another_server() {
     let first = StandIn::start("i-1", &[Act::CutAfter(3)]).await;
     let second = StandIn::start("i-2", &[Act::Events(6)]).await;
     let relay = TestRelay::start(&[&first, &second]).await;
@@ -183,7 +184,7 @@
 }
 
 #[tokio::test]
-async fn events_that_the_caller_has_are_not_passed_again() {
+async fn events_the_caller_already_has_are_not_sent_again() {
     let server = StandIn::start("i-1", &[Act::Events(6)]).await;
     let relay = TestRelay::start(&[&server]).await;
     let headers = "Api-Key: key-a\r\nLast-Event-Id: 4\r\n";
@@ -192,12 +193,12 @@
 }
 
 #[tokio::test]
-async fn stream_on_a_leaving_engine_is_moved_with_its_memory() {
+async fn stream_on_a_leaving_engine_is_moved_with_its_kv_cache() {
     let mut first = StandIn::start("i-1", &[Act::UntilMoved(2)]).await;
     let second = StandIn::start("i-2", &[Act::Events(6)]).await;
     let relay = TestRelay::start(&[&first]).await;
     let headers = "Api-Key: key-a\r\nToken-Usage: 1000,100000\r\n";
-    let asking = relay.ask_with("POST", "stream", headers);
+    let request = relay.ask_with("POST", "stream", headers);
     let leaving = async {
         first.wait_seen(1).await;
         let mut listed = first.listed("svc");
@@ -205,7 +206,7 @@
         listed.leaves_in = Some(Millis(2_500));
         relay.list_as(vec![listed, second.listed("svc")]);
     };
-    let (reply, ()) = tokio::join!(asking, leaving);
+    let (reply, ()) = tokio::join!(request, leaving);
     assert_eq!((reply.status, reply.body, reply.whole), (200, events(6), true));
     let moved = &second.seen()[0];
     assert_eq!(moved.headers["kv-from"], format!("{}/h-1", first.addr));
@@ -214,7 +215,7 @@
 }
 
 #[tokio::test]
-async fn shared_part_is_copied_from_the_engine_that_read_it() {
+async fn shared_prefix_is_copied_from_the_engine_that_computed_it() {
     let first = StandIn::start("i-1", &[Act::Events(1)]).await;
     let second = StandIn::start("i-2", &[Act::Events(1)]).await;
     let relay = TestRelay::start(&[&first]).await;
@@ -223,7 +224,7 @@
     relay.list(&[&first, &second]);
     let known = relay.relay.servers.of(&"svc".parse().unwrap());
     let busy = known.iter().find(|known| known.server.id.as_str() == "i-1").unwrap();
-    // The engine that has the part is crowded, so the other one is chosen.
+    // The engine that caches the prefix is overloaded, so the other one is chosen.
     busy.state.report(50, 50, Duration::ZERO);
     assert_eq!(relay.ask_with("POST", "stream", headers).await.status, 200);
     assert_eq!(second.seen()[0].headers["kv-fetch"], first.addr.to_string());
@@ -231,7 +232,7 @@
 }
 
 #[tokio::test]
-async fn cut_stream_that_may_not_be_resumed_does_not_look_whole() {
+async fn broken_non_resumable_stream_is_visibly_incomplete() {
     let first = StandIn::start("i-1", &[Act::CutAfter(3)]).await;
     let second = StandIn::start("i-2", &[Act::CutAfter(3)]).await;
     let relay = TestRelay::start(&[&first, &second]).await;
@@ -242,7 +243,7 @@
 }
 
 #[tokio::test]
-async fn silent_stream_is_not_cut_while_nobody_else_can_take_it_up() {
+async fn silent_stream_is_not_cut_without_another_server() {
     let pause = Duration::from_millis(1_300);
     let server = StandIn::start("i-1", &[Act::PauseAfterFirst(4, pause)]).await;
     let relay = TestRelay::start(&[&server]).await;
@@ -252,20 +253,20 @@
 }
 
 #[tokio::test]
-async fn caller_that_goes_frees_its_server() {
+async fn caller_disconnect_cancels_the_request_on_the_server() {
     let mut server = StandIn::start("i-1", &[Act::Silent]).await;
     let relay = TestRelay::start(&[&server]).await;
-    let asking = relay.ask("POST", "stream");
+    let request = relay.ask("POST", "stream");
     tokio::select! {
-        _ = asking => panic!("a silent server was answered for"),
+        _ = request => panic!("the request was answered although its server is silent"),
         () = server.wait_seen(1) => {}
     }
-    // The caller's connection is dropped with its future.
+    // Dropping the future closes the caller's connection.
     server.wait_gone(1).await;
 }
 
 #[tokio::test]
-async fn box_that_knows_no_routes_says_so_and_is_not_ready() {
+async fn box_without_routes_refuses_requests_and_is_not_ready() {
     let relay = TestRelay::empty().await;
     let reply = relay.ask("POST", "once").await;
     assert_eq!(reply.status, 503);
@@ -286,24 +287,25 @@
 }
 
 #[tokio::test]
-async fn unknown_route_and_key_are_refused_only_by_a_box_that_is_sure() {
+async fn unknown_route_and_key_are_denied_only_with_current_routes() {
     let server = StandIn::start("i-1", &[Act::Answer]).await;
     let relay = TestRelay::start(&[&server]).await;
     assert_eq!(relay.ask("POST", "elsewhere").await.status, 404);
     assert_eq!(relay.ask_with("POST", "once", "Api-Key: no-such\r\n").await.status, 401);
     assert_eq!(relay.ask_with("POST", "once", "").await.status, 401);
-    // A box that was never sure answers that it does not know, and runs nothing with a key.
-    let unsure = TestRelay::empty().await;
+    // A box that has never confirmed its configuration answers 503 and runs nothing that needs a
+    // key.
+    let unconfirmed = TestRelay::empty().await;
     let table = emberturn::platform::document::read(&document(1, &usual_routes()).to_string());
-    unsure.relay.apply_table(std::sync::Arc::new(table.unwrap()));
-    unsure.list(&[&server]);
-    assert_eq!(unsure.ask("POST", "elsewhere").await.status, 503);
-    assert_eq!(unsure.ask("POST", "once").await.status, 503);
+    unconfirmed.relay.apply_table(std::sync::Arc::new(table.unwrap()));
+    unconfirmed.list(&[&server]);
+    assert_eq!(unconfirmed.ask("POST", "elsewhere").await.status, 503);
+    assert_eq!(unconfirmed.ask("POST", "once").await.status, 503);
     assert!(server.seen().is_empty());
 }
 
 #[tokio::test]
-async fn older_routes_never_come_back() {
+async fn older_route_table_is_ignored() {
     let server = StandIn::start("i-1", &[Act::Answer]).await;
     let relay = TestRelay::start(&[&server]).await;
     relay.publish(&document(7, &[route("safe", "safe", 2)]));
@@ -318,7 +320,7 @@
     two_lengths = { "POST /safe/x HTTP/1.1\r\nHost: app.example\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400 },
     large_body = { "POST /safe/x HTTP/1.1\r\nHost: app.example\r\nApi-Key: key-a\r\nContent-Length: 70000\r\nConnection: close\r\n\r\n", 413 },
 )]
-fn request_that_breaks_the_protocol_runs_nowhere(text: &str, status: u16) {
+fn malformed_request_reaches_no_server(text: &str, status: u16) {
     run(async {
         let server = StandIn::start("i-1", &[Act::Answer]).await;
         let relay = TestRelay::start(&[&server]).await;
@@ -332,7 +334,7 @@
 }
 
 #[tokio::test]
-async fn head_beyond_the_operators_limit_is_refused() {
+async fn request_head_over_the_limit_is_refused() {
     let server = StandIn::start("i-1", &[Act::Answer]).await;
     let relay = TestRelay::start(&[&server]).await;
     let headers = format!("Api-Key: key-a\r\nX-Long: {}\r\n", "x".repeat(20_000));
@@ -341,7 +343,7 @@
 }
 
 #[tokio::test]
-async fn team_over_its_limit_is_told_when_to_come_back() {
+async fn team_over_its_limit_receives_retry_after() {
     let server = StandIn::start("i-1", &[Act::Answer]).await;
     let relay = TestRelay::empty().await;
     let mut value = document(1, &usual_routes());
@@ -362,7 +364,7 @@
 }
 
 #[tokio::test]
-async fn box_that_has_heard_no_leader_does_not_say_that_a_team_is_over_its_limit() {
+async fn box_without_a_leader_does_not_report_a_team_as_over_its_limit() {
     let server = StandIn::start("i-1", &[Act::Answer]).await;
     let relay = TestRelay::empty().await;
     relay.put(&document(1, &usual_routes()));
@@ -374,7 +376,7 @@
 }
 
 #[tokio::test]
-async fn kept_connection_serves_one_request_after_the_other() {
+async fn keep_alive_connection_serves_requests_in_sequence() {
     let server = StandIn::start("i-1", &[Act::Answer]).await;
     let relay = TestRelay::start(&[&server]).await;
     let one = "POST /once/x HTTP/1.1\r\nHost: app.example\r\nRequest-Id: r-1\r\nApi-Key: key-a\r\nContent-Length: 0\r\n\r\n";
@@ -387,27 +389,27 @@
 }
 
 #[tokio::test]
-async fn call_that_meets_a_box_right_after_its_start_waits_for_routes_and_servers() {
+async fn request_right_after_start_waits_for_routes_and_servers() {
     let server = StandIn::start("i-1", &[Act::Answer]).await;
     let relay = TestRelay::empty().await;
-    // A long time to wait for the answer, so that the test does not depend on the machine's speed.
+    // The deadline is long so that the test does not depend on the speed of the machine.
     let text = "POST /once/x HTTP/1.1\r\nHost: app.example\r\nRequest-Id: r-1\r\nApi-Key: key-a\r\n\
                 Deadline-Ms: 12000\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
-    let mut asking = std::pin::pin!(relay.raw(text));
+    let mut request = std::pin::pin!(relay.raw(text));
     while relay.board.requests() == 0 {
         tokio::select! {
-            early = &mut asking => panic!("answered before anything was known: {early}"),
+            early = &mut request => panic!("answered before routes and servers were known: {early}"),
             () = tokio::task::yield_now() => {}
         }
     }
     relay.publish(&document(1, &usual_routes()));
     relay.list(&[&server]);
-    let answer = asking.await;
+    let answer = request.await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
 }
 
 #[tokio::test]
-async fn call_is_refused_with_a_time_when_a_box_learns_nothing() {
+async fn request_to_a_box_without_configuration_is_refused_with_retry_after() {
     let relay = TestRelay::empty().await;
     let reply = relay.ask("POST", "once").await;
     assert_eq!(reply.status, 503);
