--- a/src/decide/capacity.rs
+++ b/src/decide/capacity.rs
@@ -170,13 +170,13 @@
         if offered.prompt_tokens <= 0.0 || offered.requests <= 0.0 {
             return None;
         }
-        let mean = model.read_time(offered.prompt_tokens / offered.requests);
+        let mean = model.prefill_time(offered.prompt_tokens / offered.requests);
         let objective = offered.objective_seconds / offered.requests;
         let load = Self {
             requests: offered.requests * peak / offered.prompt_tokens,
-            prefill_load: model.read_time(peak),
+            prefill_load: model.prefill_time(peak),
             residual_prefill: model
-                .read_time(offered.squared_prompt_tokens / offered.prompt_tokens)
+                .prefill_time(offered.squared_prompt_tokens / offered.prompt_tokens)
                 / 2.0,
             slack: (objective - model.base - mean).max(0.0),
             late_factor: 1.0,
@@ -185,7 +185,7 @@
         };
         let now = Self {
             requests: offered.requests,
-            prefill_load: model.read_time(offered.prompt_tokens),
+            prefill_load: model.prefill_time(offered.prompt_tokens),
             slot_load: model.slot_load(offered),
             ..load
         };
--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -101,8 +101,8 @@
 /// Milliseconds until the request begins there, as far as can be told.
 pub fn expected_wait(model: &EngineModel, candidate: &Candidate) -> f64 {
     let slots = f64::from(candidate.slots.max(1));
-    let mean = model.mean_time() * 1_000.0;
-    let read = model.read_time((candidate.unread + candidate.uncached) as f64) * 1_000.0;
+    let mean = model.mean_prefill_time() * 1_000.0;
+    let read = model.prefill_time((candidate.unread + candidate.uncached) as f64) * 1_000.0;
     let crowd = (candidate.requests / slots).min(1.0) * CROWD_PROMPTS * mean;
     // One that waits for a place waits for the prompts before it, and for places to be left.
     let known = mean.max(candidate.stay * 1_000.0 / slots);
--- a/src/decide/distance.rs
+++ b/src/decide/distance.rs
@@ -160,5 +160,5 @@
     let tokens = tokens as f64;
     let copy = tokens / copying.rate * 1_000.0;
     let bytes = tokens * copying.token_bytes / 1_000.0 * weights.remote;
-    time + copy + bytes < model.read_time(tokens) * 1_000.0
+    time + copy + bytes < model.prefill_time(tokens) * 1_000.0
 }
--- a/src/decide/engine.rs
+++ b/src/decide/engine.rs
@@ -1,15 +1,15 @@
-//! What the engines of a service can do, as far as their answers show.
+//! Learns a performance model of a service's engines from their answers.
 //!
-//! An engine reads a prompt before its first event. The time until then is a fixed part and the
-//! prompt's tokens over a reading rate, and longer by whatever else it is doing. So the fit goes
-//! through the lower part of what is seen: a line of which one observation in five lies below. What
-//! lies above is the wait that the load causes, and the reading of shared parts that were not cached:
-//! only what a prompt has of its own is read for certain. Where shared parts are hardly ever cached,
-//! the rate comes out too low, never too high.
+//! An engine reads (prefills) a prompt before it sends the first event. The time to the first event is a
+//! fixed part plus the prompt's tokens divided by the prefill rate, and is longer if the engine is busy. The
+//! model is therefore fitted through the lower part of the observations, as a line with 20% of them below
+//! it. Anything above it is queueing delay or the prefill of shared prefixes that were not cached. Only the
+//! unshared tokens of a prompt are certain to be read, so where shared prefixes are rarely cached, the
+//! estimated rate is too low but never too high.
 //!
-//! A box learns from its own requests. The leader pools what boxes tell and passes it on. Where each box
-//! has few requests, a fit of its own takes minutes; so a box that has none yet reports its samples, and
-//! the leader learns from those of all boxes together.
+//! Each relay learns from its own requests. The leader pools the relays' models and distributes the result.
+//! Where each relay has few requests, an own fit would take minutes; a relay without one reports its samples
+//! instead, and the leader learns from those of all such relays together.
 
 use std::collections::VecDeque;
 
@@ -17,87 +17,88 @@
 
 use super::capacity::OfferedLoad;
 
-/// Prompt tokens a second, before anything was seen: about one accelerator's rate for a model of some
-/// ten billion parameters. Only the comparison of engines goes by it; none are ordered before the
-/// rate is learned.
+/// The prior of the prefill rate, in tokens per second: about that of one accelerator with a model of 10
+/// billion parameters. It is only used to compare engines; none are ordered before the rate is learned.
 const PRIOR_RATE: f64 = 50_000.0;
 
-/// Observations kept. The rate of drawn engines is learned within 15% from 300 requests, and one that
-/// becomes five times as fast is followed within as many (`tests/engine.rs`).
-const KEPT: usize = 256;
+/// The number of observations that are kept. With 256, the rate of simulated engines is learned to within
+/// 15% from 300 requests, and an engine that becomes five times as fast is followed within as many
+/// (`tests/engine.rs`).
+const MAX_OBSERVATIONS: usize = 256;
 
-/// Observations before there is a fit of its own.
-const LEAST: usize = 24;
+/// The number of observations required for a fit.
+const MIN_OBSERVATIONS: usize = 24;
 
-/// New observations after which the line is fitted again.
-const AGAIN: usize = 16;
+/// The number of new observations after which the line is fitted again.
+const REFIT_INTERVAL: usize = 16;
 
-/// Events of a stream from which on its pace says something.
-const LEAST_EVENTS: f64 = 4.0;
+/// The minimum number of events for a stream to count towards the pace.
+const MIN_PACE_EVENTS: f64 = 4.0;
 
-/// The part of the observations that lies below the line, or the pace.
-const LOW_PART: f64 = 0.2;
+/// The fraction of the observations below the fitted line, and the quantile taken as the pace.
+const LOW_QUANTILE: f64 = 0.2;
 
-/// Steps of the fit: each weighs the points by their distance from the line before.
+/// Iterations of the fit. Each weights the points by their distance from the previous line.
 const FIT_STEPS: usize = 12;
 
-/// Weight of a new observation in a mean: fifty requests, a few seconds of a box's traffic.
+/// The weight of a new observation in a moving average: about fifty requests, a few seconds of a relay's
+/// traffic.
 const MEAN_WEIGHT: f64 = 0.02;
 
-/// The part by which a figure moves before it is news: what is learned from some hundred requests is no
-/// surer than that.
-const NEWS_PART: f64 = 0.05;
+/// The relative change from which on a value is reported. Values learned from some hundred requests are no
+/// more precise.
+const REPORTED_CHANGE: f64 = 0.05;
 
-/// Seconds of a wait that no caller notices.
-const SLIGHT_WAIT: f64 = 0.005;
+/// A change of the queueing delay, in seconds, too small for any caller to notice.
+const UNREPORTED_WAIT: f64 = 0.005;
 
-/// A part of the requests that orders no engine more.
-const SLIGHT_PART: f64 = 0.01;
+/// A change in the fraction of late requests too small to affect the number of engines.
+const UNREPORTED_LATE: f64 = 0.01;
 
-/// The longest wait, in seconds, that one observation counts for: beyond it, something failed.
-const WAIT_LIMIT: f64 = 2.0;
+/// The upper bound of a single observed queueing delay, in seconds. Longer delays indicate a failure.
+const MAX_WAIT: f64 = 2.0;
 
-/// What is known of a service's engines.
+/// The performance model of a service's engines.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct EngineModel {
-    /// Prompt tokens that one reads in a second.
+    /// The prefill rate of one engine, in prompt tokens per second.
     pub rate: f64,
-    /// Seconds until the first event, whatever the prompt.
+    /// Seconds to the first event regardless of the prompt.
     pub base: f64,
-    /// Mean tokens of a prompt that an engine has to read.
+    /// The mean number of prompt tokens that an engine has to read.
     pub prompt: f64,
-    /// Mean seconds that a request waits for others.
+    /// The mean queueing delay of a request, in seconds.
     pub wait: f64,
-    /// The part of the requests that come late: to their first event, or between two of them.
+    /// The fraction of requests that are late, either to the first event or between two events.
     pub late: f64,
-    /// Seconds between two events of a stream that nothing holds up; 0 where none was seen.
+    /// Seconds between two events of an unimpeded stream; 0 if unknown.
     #[serde(default)]
     pub pace: f64,
-    /// Events that come out of a token that may.
+    /// Events per token of the output limit.
     #[serde(default)]
     pub events: f64,
-    /// Observations behind this; 0 for none.
+    /// The number of observations that the model is based on; 0 if there are none.
     pub weight: f64,
 }
 
 impl Default for EngineModel {
     fn default() -> Self {
-        Self { rate: PRIOR_RATE, ..Self::nothing() }
+        Self { rate: PRIOR_RATE, ..Self::zero() }
     }
 }
 
 impl EngineModel {
-    const fn nothing() -> Self {
+    const fn zero() -> Self {
         let (rate, base, prompt, wait) = (0.0, 0.0, 0.0, 0.0);
         Self { rate, base, prompt, wait, late: 0.0, pace: 0.0, events: 0.0, weight: 0.0 }
     }
 
-    /// Seconds of a place that a second of what is offered asks for, at engines that read nothing else: each
-    /// request's own reading, and its events.
+    /// Slot seconds per second that the offered load needs on engines with no other prefill: the prefill of
+    /// each request plus its events. Returns 0 while the pace is unknown.
     pub fn slot_load(&self, offered: &OfferedLoad) -> f64 {
         let events = offered.output_tokens * self.events * self.pace;
         if events > 0.0 {
-            self.read_time(offered.prompt_tokens) + offered.requests * self.base + events
+            self.prefill_time(offered.prompt_tokens) + offered.requests * self.base + events
         } else {
             0.0
         }
@@ -108,22 +109,22 @@
         self.weight > 0.0
     }
 
-    /// Seconds to read so many tokens.
-    pub fn read_time(&self, tokens: f64) -> f64 {
+    /// Seconds to prefill a number of tokens.
+    pub fn prefill_time(&self, tokens: f64) -> f64 {
         tokens / self.rate
     }
 
-    /// Seconds to read a prompt of the mean size.
-    pub fn mean_time(&self) -> f64 {
-        self.read_time(self.prompt)
+    /// Seconds to prefill a prompt of mean size.
+    pub fn mean_prefill_time(&self) -> f64 {
+        self.prefill_time(self.prompt)
     }
 
-    /// Several boxes' models as one, each by its observations.
+    /// Averages the models of several relays, weighted by their observations.
     pub fn pool<'a>(models: impl Iterator<Item = &'a Self>) -> Self {
-        let mut sum = Self::nothing();
-        let mut paced = 0.0;
+        let mut sum = Self::zero();
+        let mut pace_weight = 0.0;
         for model in models.filter(|model| model.is_learned()) {
-            // Seconds a token add up; tokens a second do not.
+            // Average the seconds per token, as rates must not be averaged arithmetically.
             sum.rate += model.weight / model.rate;
             sum.base += model.weight * model.base;
             sum.prompt += model.weight * model.prompt;
@@ -132,7 +133,7 @@
             if model.pace > 0.0 {
                 sum.pace += model.weight * model.pace;
                 sum.events += model.weight * model.events;
-                paced += model.weight;
+                pace_weight += model.weight;
             }
             sum.weight += model.weight;
         }
@@ -145,14 +146,15 @@
             prompt: sum.prompt / sum.weight,
             wait: sum.wait / sum.weight,
             late: sum.late / sum.weight,
-            pace: sum.pace / f64::max(paced, 1.0),
-            events: sum.events / f64::max(paced, 1.0),
+            pace: sum.pace / f64::max(pace_weight, 1.0),
+            events: sum.events / f64::max(pace_weight, 1.0),
             weight: sum.weight,
         }
     }
 
-    /// Several boxes' models as one, with the leader's own from the samples of boxes without one. That one
-    /// stands only until the boxes' fits weigh as much: it learns nothing more from boxes that have a fit.
+    /// Like [`Self::pool`], and includes the leader's own model, which it learned from relays without a fit.
+    /// The own model is dropped once the relays' fits outweigh it, as it learns nothing from relays that
+    /// have a fit.
     pub fn pool_with<'a>(models: impl Iterator<Item = &'a Self>, own: Option<&Self>) -> Self {
         let pooled = Self::pool(models);
         match own.filter(|own| own.weight > pooled.weight) {
@@ -161,56 +163,59 @@
         }
     }
 
-    /// Whether a later model says something that whoever knows this one should hear of.
-    pub fn is_passed(&self, later: &Self) -> bool {
-        let moved = |a: f64, b: f64, slight: f64| (a - b).abs() > slight.max(NEWS_PART * a.max(b));
+    /// Whether `later` differs enough that recipients of this model should be sent the later one.
+    pub fn is_outdated_by(&self, later: &Self) -> bool {
+        let moved = |a: f64, b: f64, negligible: f64| {
+            (a - b).abs() > negligible.max(REPORTED_CHANGE * a.max(b))
+        };
         moved(self.rate, later.rate, 0.0)
-            || moved(self.base, later.base, SLIGHT_WAIT)
+            || moved(self.base, later.base, UNREPORTED_WAIT)
             || moved(self.prompt, later.prompt, 0.0)
-            || moved(self.wait, later.wait, SLIGHT_WAIT)
-            || moved(self.late, later.late, SLIGHT_PART)
+            || moved(self.wait, later.wait, UNREPORTED_WAIT)
+            || moved(self.late, later.late, UNREPORTED_LATE)
             || moved(self.pace, later.pace, 0.0)
             || moved(self.events, later.events, 0.0)
             || moved(self.weight, later.weight, 0.0)
     }
 
-    /// Whether another model says something else, by more than a tenth.
+    /// Whether the rates differ by more than 10%, or only one of the models was learned.
     pub fn differs(&self, other: &Self) -> bool {
         let differ = |a: f64, b: f64| (a - b).abs() > 0.1 * a.max(b);
         self.is_learned() != other.is_learned() || differ(self.rate, other.rate)
     }
 }
 
-/// One request's way to its first event.
+/// The time to the first event of one request.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Prompt tokens that the engine had to read, as far as can be told.
+    /// The estimated number of prompt tokens that the engine had to read.
     pub tokens: f64,
-    /// Those of them that no other request shares: it had to read these for certain.
-    pub own: f64,
-    /// Seconds from the send to the first event.
+    /// Those tokens that no other request shares. The engine certainly had to read them.
+    #[serde(rename = "own")]
+    pub unshared_tokens: f64,
+    /// Seconds from sending the request to its first event.
     pub seconds: f64,
-    /// Whether none of this box's requests stood before it.
+    /// Whether no request of this relay was ahead of it.
     pub is_clear: bool,
 }
 
-/// What one request showed of an engine.
+/// An observation of an engine, made with one request.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum Sample {
-    /// Its way to its first event.
+    /// The time to the first event.
     First(Observation),
-    /// Whether it was served late.
+    /// A request that was served.
     Served {
-        /// Whether it came late.
+        /// Whether it was late.
         late: bool,
     },
-    /// A stream that ended well.
+    /// A stream that ended successfully.
     Stream {
-        /// Its events.
+        /// The number of events.
         events: f64,
-        /// The tokens that might have come out.
+        /// The output token limit.
         output: f64,
-        /// The seconds from its first event to its last.
+        /// Seconds from the first event to the last.
         seconds: f64,
     },
 }
@@ -218,17 +223,17 @@
 /// Learns the model of one service's engines from samples.
 #[derive(Debug, Default)]
 pub struct EngineLearner {
-    clear: VecDeque<(f64, f64)>,
-    fresh: usize,
+    unqueued: VecDeque<(f64, f64)>,
+    since_fit: usize,
     paces: VecDeque<f64>,
     model: EngineModel,
 }
 
 impl EngineLearner {
-    /// Takes a sample of any kind.
+    /// Records a sample of any kind.
     pub fn record(&mut self, sample: Sample) {
         match sample {
-            Sample::First(seen) => self.note(seen),
+            Sample::First(observation) => self.record_first_event(observation),
             Sample::Served { late } => self.record_served(late),
             Sample::Stream { events, output, seconds } => {
                 self.record_stream(events, output, seconds)
@@ -236,37 +241,37 @@
         }
     }
 
-    /// Takes an observation.
-    pub fn note(&mut self, seen: Observation) {
+    /// Records the time to the first event of a request.
+    pub fn record_first_event(&mut self, observation: Observation) {
         let model = &mut self.model;
         let first = model.prompt == 0.0;
         let weight = if first { 1.0 } else { MEAN_WEIGHT };
-        model.prompt += weight * (seen.tokens - model.prompt);
+        model.prompt += weight * (observation.tokens - model.prompt);
         if model.is_learned() {
-            let wait = seen.seconds - model.base - model.read_time(seen.tokens);
-            model.wait += MEAN_WEIGHT * (wait.clamp(0.0, WAIT_LIMIT) - model.wait);
+            let wait = observation.seconds - model.base - model.prefill_time(observation.tokens);
+            model.wait += MEAN_WEIGHT * (wait.clamp(0.0, MAX_WAIT) - model.wait);
         }
-        if seen.is_clear && seen.seconds > 0.0 {
-            self.clear.push_back((seen.own, seen.seconds));
-            self.fresh += 1;
+        if observation.is_clear && observation.seconds > 0.0 {
+            self.unqueued.push_back((observation.unshared_tokens, observation.seconds));
+            self.since_fit += 1;
         }
-        if self.clear.len() > KEPT {
-            self.clear.pop_front();
+        if self.unqueued.len() > MAX_OBSERVATIONS {
+            self.unqueued.pop_front();
         }
-        if self.clear.len() >= LEAST && self.fresh >= AGAIN {
-            self.fresh = 0;
+        if self.unqueued.len() >= MIN_OBSERVATIONS && self.since_fit >= REFIT_INTERVAL {
+            self.since_fit = 0;
             self.fit();
         }
     }
 
-    /// Takes whether a request that was served came late.
+    /// Records whether a served request was late.
     pub fn record_served(&mut self, is_late: bool) {
         let late = if is_late { 1.0 } else { 0.0 };
         self.model.late += MEAN_WEIGHT * (late - self.model.late);
     }
 
-    /// Takes a stream that ended well: its events, the tokens that might have come out, and the seconds from
-    /// its first event to its last.
+    /// Records a stream that ended successfully: the number of events, the output token limit, and the
+    /// seconds from the first event to the last.
     pub fn record_stream(&mut self, events: f64, output: f64, seconds: f64) {
         if output <= 0.0 {
             return;
@@ -274,36 +279,37 @@
         let first = self.model.events == 0.0;
         let weight = if first { 1.0 } else { MEAN_WEIGHT };
         self.model.events += weight * (events / output - self.model.events);
-        if events < LEAST_EVENTS {
+        if events < MIN_PACE_EVENTS {
             return;
         }
         self.paces.push_back(seconds / (events - 1.0));
-        if self.paces.len() > KEPT {
+        if self.paces.len() > MAX_OBSERVATIONS {
             self.paces.pop_front();
         }
-        if self.paces.len() >= LEAST && self.paces.len().is_multiple_of(AGAIN) {
-            self.model.pace = quantile(self.paces.iter().copied(), LOW_PART).unwrap_or_default();
+        if self.paces.len() >= MIN_OBSERVATIONS && self.paces.len().is_multiple_of(REFIT_INTERVAL) {
+            self.model.pace =
+                quantile(self.paces.iter().copied(), LOW_QUANTILE).unwrap_or_default();
         }
     }
 
-    /// What is learned so far.
+    /// The model learned so far.
     pub fn model(&self) -> EngineModel {
         self.model
     }
 
     fn fit(&mut self) {
-        let Some((base, slope)) = low_line(&self.clear) else {
+        let Some((base, slope)) = fit_low_line(&self.unqueued) else {
             return;
         };
         self.model.rate = 1.0 / slope;
         self.model.base = base;
-        self.model.weight = self.clear.len() as f64;
+        self.model.weight = self.unqueued.len() as f64;
     }
 }
 
-/// The line `base + slope * x` with [`LOW_PART`] of the points below it, by least squares with weights
-/// that make up for the sides; `None` where the points show no slope.
-fn low_line(points: &VecDeque<(f64, f64)>) -> Option<(f64, f64)> {
+/// Fits the line `base + slope * x` with a fraction of [`LOW_QUANTILE`] of the points below it (quantile
+/// regression by iteratively reweighted least squares). Returns `None` if the points show no positive slope.
+fn fit_low_line(points: &VecDeque<(f64, f64)>) -> Option<(f64, f64)> {
     let count = points.len() as f64;
     let (x_mean, y_mean) = points.iter().fold((0.0, 0.0), |sum, it| (sum.0 + it.0, sum.1 + it.1));
     let (x_mean, y_mean) = (x_mean / count, y_mean / count);
@@ -313,23 +319,23 @@
     let scaled: Vec<_> = points.iter().map(|(x, y)| (x / x_mean, y / y_mean)).collect();
     let (mut base, mut slope) = (0.0, 1.0);
     for _ in 0..FIT_STEPS {
-        let weighed = scaled.iter().map(|(x, y)| {
-            let over = y - base - slope * x;
-            let side = if over > 0.0 { LOW_PART } else { 1.0 - LOW_PART };
-            (side / over.abs().max(LEAST_OVER), *x, *y)
+        let weighted = scaled.iter().map(|(x, y)| {
+            let residual = y - base - slope * x;
+            let weight = if residual > 0.0 { LOW_QUANTILE } else { 1.0 - LOW_QUANTILE };
+            (weight / residual.abs().max(MIN_DISTANCE), *x, *y)
         });
-        (base, slope) = line(weighed);
+        (base, slope) = fit_line(weighted);
     }
-    // Seconds a token, and never less than nothing before the first one.
+    // The slope is in seconds per token, and the base is never negative.
     (slope > 0.0).then(|| (base * y_mean, slope * y_mean / x_mean))
 }
 
-/// The least distance from the line that counts, as a part of the mean time: nearer points would
-/// weigh without bound.
-const LEAST_OVER: f64 = 0.01;
+/// The minimum distance from the line, as a fraction of the mean time. Without it, the weights of close
+/// points would be unbounded.
+const MIN_DISTANCE: f64 = 0.01;
 
-/// Weighted least squares for a line that does not begin below 0.
-fn line(points: impl Iterator<Item = (f64, f64, f64)>) -> (f64, f64) {
+/// Fits a line with a non-negative intercept by weighted least squares.
+fn fit_line(points: impl Iterator<Item = (f64, f64, f64)>) -> (f64, f64) {
     let (mut w, mut wx, mut wy, mut wxx, mut wxy) = (0.0, 0.0, 0.0, 0.0, 0.0);
     for (weight, x, y) in points {
         w += weight;
@@ -340,7 +346,7 @@
     }
     let spread = w * wxx - wx * wx;
     let through_zero = (0.0, wxy / wxx.max(f64::MIN_POSITIVE));
-    if spread <= LEAST_SPREAD * w * wxx {
+    if spread <= MIN_SPREAD * w * wxx {
         return through_zero;
     }
     let slope = (w * wxy - wx * wy) / spread;
@@ -348,11 +354,11 @@
     if base < 0.0 { through_zero } else { (base, slope) }
 }
 
-/// The part of their mean square by which prompts differ for a fixed part of the time to be told from
-/// the slope.
-const LEAST_SPREAD: f64 = 0.01;
+/// The minimum spread of the prompt sizes, relative to their mean square. With less spread, the fixed part
+/// cannot be told apart from the slope.
+const MIN_SPREAD: f64 = 0.01;
 
-/// The number below which a part of `numbers` lies; `None` where there are none.
+/// The `part` quantile of `numbers`, or `None` if there are none.
 pub(super) fn quantile(numbers: impl Iterator<Item = f64>, part: f64) -> Option<f64> {
     let mut sorted: Vec<_> = numbers.collect();
     sorted.sort_unstable_by(f64::total_cmp);
--- a/src/decide/report_delta.rs
+++ b/src/decide/report_delta.rs
@@ -105,6 +105,6 @@
         && known
             .iter()
             .zip(models)
-            .all(|((a, known), (b, model))| a == b && !known.is_passed(model));
+            .all(|((a, known), (b, model))| a == b && !known.is_outdated_by(model));
     !is_same
 }
--- a/src/relay/plain.rs
+++ b/src/relay/plain.rs
@@ -186,7 +186,12 @@
     if !failed {
         let seconds = seconds_since(began);
         known.state.succeed(seconds);
-        let seen = Observation { tokens: 1.0, own: 1.0, seconds, is_clear: known.unread() == 0 };
+        let seen = Observation {
+            tokens: 1.0,
+            unshared_tokens: 1.0,
+            seconds,
+            is_clear: known.unread() == 0,
+        };
         relay.engines().note(&known.server.service, seen);
         known.state.succeed_route(&route.name);
         let part = seconds / route.objective.as_secs_f64();
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -171,7 +171,7 @@
     let prefill_work = attempts.prefill_work();
     let seen = Observation {
         tokens: prefill_work.tokens as f64,
-        own: prefill_work.unshared_tokens as f64,
+        unshared_tokens: prefill_work.unshared_tokens as f64,
         seconds: seconds_since(opened.source.sent_at),
         is_clear: prefill_work.is_queue_empty,
     };
@@ -182,7 +182,7 @@
 /// each event. Only used to compare two releases, for which the error is the same.
 fn expected_time(relay: &Relay, attempts: &CallAttempts, progress: &StreamProgress) -> f64 {
     let model = relay.engines().model(attempts.service());
-    let read = model.base + model.read_time(attempts.prefill_work().tokens as f64);
+    let read = model.base + model.prefill_time(attempts.prefill_work().tokens as f64);
     read + ASSUMED_EVENT_TIME * progress.events as f64
 }
 
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -30,14 +30,14 @@
     if rng.random_bool(engine.grey) {
         seconds += rng.random_range(1.0..4.0);
     }
-    Observation { tokens, own: tokens, seconds, is_clear: true }
+    Observation { tokens, unshared_tokens: tokens, seconds, is_clear: true }
 }
 
 fn learn(engine: &Engine, count: usize, seed: u64) -> EngineModel {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut learner = EngineLearner::default();
     for _ in 0..count {
-        learner.note(seen(engine, &mut rng));
+        learner.record_first_event(seen(engine, &mut rng));
     }
     learner.model()
 }
@@ -85,7 +85,12 @@
         let own = own * rng.random_range(0.5..1.5);
         let read = own + if rng.random_bool(0.5) { shared } else { 0.0 };
         let seconds = 0.05 + read / 100_000.0;
-        learner.note(Observation { tokens: read, own, seconds, is_clear: true });
+        learner.record_first_event(Observation {
+            tokens: read,
+            unshared_tokens: own,
+            seconds,
+            is_clear: true,
+        });
     }
     let rate = learner.model().rate;
     assert!((85_000.0..115_000.0).contains(&rate), "{rate}");
@@ -95,7 +100,12 @@
 fn prompts_of_one_size_still_give_a_rate() {
     let mut learner = EngineLearner::default();
     for _ in 0..100 {
-        learner.note(Observation { tokens: 2_000.0, own: 2_000.0, seconds: 0.04, is_clear: true });
+        learner.record_first_event(Observation {
+            tokens: 2_000.0,
+            unshared_tokens: 2_000.0,
+            seconds: 0.04,
+            is_clear: true,
+        });
     }
     let rate = learner.model().rate;
     assert!((49_000.0..51_000.0).contains(&rate), "{rate}");
@@ -109,7 +119,7 @@
     let mut learner = EngineLearner::default();
     for engine in [&slow, &fast] {
         for _ in 0..300 {
-            learner.note(seen(engine, &mut rng));
+            learner.record_first_event(seen(engine, &mut rng));
         }
     }
     let rate = learner.model().rate;
