--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -321,18 +321,18 @@
     let cost = team.cost(tokens);
     let began = tokio::time::Instant::now();
     let mut pause = Duration::ZERO;
-    let short = loop {
-        let short = match relay.allowances().claim(&team.name, cost, clock::now()) {
+    let shortage = loop {
+        let shortage = match relay.allowances().claim(&team.name, cost, clock::now()) {
             Ok(()) => {
                 record_wait(relay, &call.head.id, team, began);
                 return Ok(cost);
             }
-            Err(short) => short,
+            Err(shortage) => shortage,
         };
-        if !short.ask_leader
+        if !shortage.ask_leader
             || !wait_for_allowance(relay, &team.name, began + LEADER_REPLY_TIMEOUT, pause).await
         {
-            break short;
+            break shortage;
         }
         pause = (pause * 2).max(DEMAND_RETRY_PAUSE);
     };
@@ -340,16 +340,16 @@
     let waited = began.elapsed().as_millis() as u64;
     tracing::info!(
         event = "allowance_refused", id = call.head.id, team = %team.name, units = cost as u64,
-        exhausted = short.exhausted, known = short.known, waited_ms = waited,
+        exhausted = shortage.exhausted, known = shortage.known, waited_ms = waited,
     );
-    if !short.exhausted {
+    if !shortage.exhausted {
         // No leader has reported the limit as exhausted, so the refusal must not claim it.
         return Err(uncertain(
             "the rest of the team's limit is not known: no leader answered in time",
         ));
     }
     let text = format!("team {} is over its rate limit: {cost} units requested", team.name);
-    Err(Failure::new(Kind::RateLimit, text).after(Some(short.retry_after)))
+    Err(Failure::new(Kind::RateLimit, text).after(Some(shortage.retry_after)))
 }
 
 /// Has the leader asked for more allowance for a team after `pause` and waits for its answer.
--- a/src/relay/taking.rs
+++ b/src/relay/taking.rs
@@ -45,14 +45,18 @@
 /// How much of an answer the caller has taken.
 #[derive(Debug)]
 struct Progress {
-    kept: u64,
-    taken: u64,
+    /// Bytes handed to the connection and not yet written.
+    kept_bytes: u64,
+    /// Bytes that the connection has written.
+    taken_bytes: u64,
     /// Since when bytes are kept; `None` if none are.
-    since: Option<Instant>,
-    owed: Duration,
+    kept_since: Option<Instant>,
+    /// Total length of the earlier periods in which bytes were kept.
+    time_owing: Duration,
     /// When the caller last took bytes, or bytes were first kept for it.
-    last: Instant,
-    longest: Duration,
+    last_taken_at: Instant,
+    /// Longest time between two takings while bytes were kept.
+    longest_pause: Duration,
 }
 
 /// State shared between the task that reads an answer and the bytes handed to the connection.
@@ -64,9 +68,14 @@
 
 impl DeliveryState {
     fn new(kept: Kept) -> Arc<Self> {
-        let (longest, owed) = (Duration::ZERO, Duration::ZERO);
-        let last = Instant::now();
-        let progress = Progress { kept: 0, taken: 0, since: None, owed, last, longest };
+        let progress = Progress {
+            kept_bytes: 0,
+            taken_bytes: 0,
+            kept_since: None,
+            time_owing: Duration::ZERO,
+            last_taken_at: Instant::now(),
+            longest_pause: Duration::ZERO,
+        };
         Arc::new(Self { progress: Mutex::new(progress), taken: Notify::new(), kept })
     }
 
@@ -75,7 +84,7 @@
     }
 
     fn has_untaken(&self) -> bool {
-        self.progress().kept > 0
+        self.progress().kept_bytes > 0
     }
 
     /// Counts bytes as kept until the last reference to them is dropped, which counts them as
@@ -83,10 +92,10 @@
     fn keep(self: &Arc<Self>, bytes: Bytes, charge: Option<Reserved>) -> Bytes {
         let length = bytes.len() as u64;
         let mut progress = self.progress();
-        progress.kept += length;
-        if progress.since.is_none() {
+        progress.kept_bytes += length;
+        if progress.kept_since.is_none() {
             let now = Instant::now();
-            (progress.since, progress.last) = (Some(now), now);
+            (progress.kept_since, progress.last_taken_at) = (Some(now), now);
         }
         drop(progress);
         guarded(bytes, UntakenBytes { state: self.clone(), length, _charge: charge })
@@ -95,30 +104,32 @@
     fn record_taken(&self, length: u64) {
         let now = Instant::now();
         let mut progress = self.progress();
-        progress.kept -= length;
-        progress.taken += length;
-        progress.longest = progress.longest.max(now.saturating_duration_since(progress.last));
-        progress.last = now;
-        if progress.kept == 0
-            && let Some(since) = progress.since.take()
+        progress.kept_bytes -= length;
+        progress.taken_bytes += length;
+        progress.longest_pause =
+            progress.longest_pause.max(now.saturating_duration_since(progress.last_taken_at));
+        progress.last_taken_at = now;
+        if progress.kept_bytes == 0
+            && let Some(since) = progress.kept_since.take()
         {
-            progress.owed += now.saturating_duration_since(since);
+            progress.time_owing += now.saturating_duration_since(since);
         }
         drop(progress);
         self.taken.notify_one();
     }
 
-    fn taking(&self, held: Duration, left: Duration) -> Taking {
+    fn snapshot(&self, held: Duration, left: Duration) -> Taking {
         let progress = self.progress();
         let now = Instant::now();
-        let owing =
-            progress.since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
+        let owing = progress
+            .kept_since
+            .map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
         Taking {
-            kept: progress.kept,
-            taken: progress.taken,
-            owed: progress.owed + owing,
-            silent: now.saturating_duration_since(progress.last),
-            longest: progress.longest,
+            kept: progress.kept_bytes,
+            taken: progress.taken_bytes,
+            owed: progress.time_owing + owing,
+            silent: now.saturating_duration_since(progress.last_taken_at),
+            longest: progress.longest_pause,
             held,
             left,
         }
@@ -246,7 +257,7 @@
 
     /// Sends the waiting chunk if there is room. Returns whether there is room for another one.
     fn send_waiting(&mut self, sender: &UnboundedSender<io::Result<Bytes>>) -> bool {
-        let kept = self.state.progress().kept;
+        let kept = self.state.progress().kept_bytes;
         let passed = match self.waiting_piece.take() {
             None => true,
             Some(mut piece) => match self.reserve(kept, piece.len() as u64) {
@@ -296,7 +307,7 @@
     fn give_up_if_slow(&mut self) -> bool {
         self.check_timer = Box::pin(sleep(CHECK_INTERVAL));
         let held = self.held_since.map_or(Duration::ZERO, |since| since.elapsed());
-        let taking = self.state.taking(held, self.call.time_left());
+        let taking = self.state.snapshot(held, self.call.time_left());
         let Some(slow) = judge(&taking, self.route.gap, self.route.repeat.is_repeatable()) else {
             return false;
         };
