--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -296,7 +296,7 @@
     /// Takes a relay's words of lives. All relays hear of them with the next reading of the list.
     fn record_incarnations(&mut self, lives: Vec<IncarnationReport>, now: Instant) {
         for told in lives {
-            if self.list.apply_incarnation(&told, now) == lives::Heard::Another {
+            if self.list.apply_incarnation(&told, now) == lives::IncarnationUpdate::Restarted {
                 tracing::info!(event = "backend_server_restarted", backend_server = %told.server);
                 self.loads.restart(told.server, now);
             }
--- a/src/relay/known.rs
+++ b/src/relay/known.rs
@@ -9,7 +9,7 @@
 use super::list::{ListedServer, Server};
 use crate::blackboard::fleet::{BackendState, FlightGuard, Leaving};
 use crate::decide::choose::LoadEstimate;
-use crate::decide::lives::{Heard, Life, Speaker};
+use crate::decide::lives::{IncarnationSource, IncarnationUpdate, ServerIncarnation};
 use crate::ids::{Incarnation, ServerKey};
 use crate::member::table::fingerprint;
 use crate::units::UnixMillis;
@@ -25,7 +25,7 @@
     /// A hash of its id: its place in the order of its service's servers.
     pub hash: u64,
     /// The life, as far as it is known.
-    pub(super) life: Life,
+    pub(super) life: ServerIncarnation,
     /// What this box has seen of this life.
     pub state: Arc<BackendState>,
     /// Prompt tokens of this box's requests that have not begun to run there.
@@ -107,7 +107,7 @@
 
     /// The life; 0 where nothing has told it.
     pub fn life(&self) -> Incarnation {
-        self.life.told()
+        self.life.id()
     }
 
     /// The server in this life.
@@ -145,14 +145,14 @@
 
 impl Known {
     /// A life of a server of which nothing is known.
-    pub(super) fn fresh(server: Server, life: Life) -> Self {
+    pub(super) fn fresh(server: Server, life: ServerIncarnation) -> Self {
         let (hash, state) = (fingerprint(server.id.as_str()), Arc::default());
         let (unread, tokens) = (Arc::default(), Arc::default());
         Self { server, hash, life, state, unread, tokens }
     }
 
     /// The same life of the server, with what is known of it.
-    pub(super) fn with(&self, server: Server, life: Life) -> Self {
+    pub(super) fn with(&self, server: Server, life: ServerIncarnation) -> Self {
         let (state, unread) = (self.state.clone(), self.unread.clone());
         let (hash, tokens) = (self.hash, self.tokens.clone());
         Self { server, hash, life, state, unread, tokens }
@@ -163,24 +163,24 @@
 /// what was known of it when it was listed last.
 pub(super) fn update(
     before: Option<&Arc<Known>>,
-    life: Option<Life>,
+    life: Option<ServerIncarnation>,
     listed: &ListedServer,
 ) -> Arc<Known> {
     let now = UnixMillis::now();
-    let mut life = life.unwrap_or_else(|| Life::seen_at(now));
-    let heard = life.hear(listed.incarnation, Speaker::Other, now);
+    let mut life = life.unwrap_or_else(|| ServerIncarnation::first_seen_at(now));
+    let heard = life.update(listed.incarnation, IncarnationSource::Relayed, now);
     let Some(known) = before else {
         return Arc::new(Known::fresh(listed.server.clone(), life));
     };
-    if heard == Heard::Earlier {
+    if heard == IncarnationUpdate::Outdated {
         return known.clone();
     }
     let is_named = !listed.incarnation.is_none() && listed.incarnation == known.life();
     // A server keeps its address for its life, so at another address it is another one, told or not.
     let moved = known.server.addr != listed.server.addr && !is_named;
-    if heard == Heard::Another || moved {
+    if heard == IncarnationUpdate::Restarted || moved {
         if moved && listed.incarnation.is_none() {
-            life.restart(now);
+            life.mark_restarted(now);
         }
         end(known, &life);
         return Arc::new(Known::fresh(listed.server.clone(), life));
@@ -192,10 +192,10 @@
 }
 
 /// Ends what runs in a life that is over.
-pub(super) fn end(known: &Known, next: &Life) {
+pub(super) fn end(known: &Known, next: &ServerIncarnation) {
     known.state.end();
     tracing::info!(
-        event = "backend_server_restarted", backend_server = %known.server.id, life = %next.told(),
+        event = "backend_server_restarted", backend_server = %known.server.id, life = %next.id(),
         before = %known.life(), in_flight = known.state.in_flight(),
     );
 }
--- a/src/relay/list_registry.rs
+++ b/src/relay/list_registry.rs
@@ -11,7 +11,7 @@
     PartId, Server,
 };
 use super::listing::{Listing, UnreadableEntry};
-use crate::decide::lives::{Heard, Life, Moment, Speaker};
+use crate::decide::lives::{IncarnationSource, IncarnationUpdate, ServerIncarnation, Timestamp};
 use crate::decide::subset::{SUBSET, chosen, part_bits, part_place, parts_taken, shares};
 use crate::decide::topology::{Reach, Topology};
 use crate::ids::{BackendId, BoxId, DataCentre, Region, Release, ServerKey, ServiceName, Term};
@@ -58,7 +58,7 @@
 
 /// The last known incarnation of a server.
 struct KnownIncarnation {
-    life: Life,
+    life: ServerIncarnation,
     /// When this incarnation became known.
     since: Instant,
     addr: SocketAddr,
@@ -75,7 +75,7 @@
     /// The entries of the last listing that could not be read.
     unreadable: Vec<UnreadableEntry>,
     /// When the last listing was read.
-    listed_at: Option<Moment>,
+    listed_at: Option<Timestamp>,
     /// The servers of `listing`, with `leaving` adjusted to their incarnations.
     servers: Vec<Server>,
     lives: HashMap<BackendId, KnownIncarnation>,
@@ -142,11 +142,12 @@
         &mut self,
         term: Term,
         listing: impl Into<Listing>,
-        now: impl Into<Moment>,
+        now: impl Into<Timestamp>,
     ) -> Option<ListVersion> {
         let now = now.into();
-        let elapsed =
-            self.listed_at.map(|listed_at| now.at.saturating_duration_since(listed_at.at));
+        let elapsed = self
+            .listed_at
+            .map(|listed_at| now.monotonic.saturating_duration_since(listed_at.monotonic));
         let elapsed = elapsed.unwrap_or_default();
         let listing = listing.into().reconcile(&self.listing, elapsed);
         self.unreadable = listing.unreadable;
@@ -171,16 +172,16 @@
     pub fn apply_incarnation(
         &mut self,
         report: &IncarnationReport,
-        now: impl Into<Moment>,
-    ) -> Heard {
+        now: impl Into<Timestamp>,
+    ) -> IncarnationUpdate {
         let now = now.into();
         let held = self.lives.get_mut(&report.server.id);
         let Some(held) = held.filter(|held| held.addr == report.addr) else {
-            return Heard::Earlier;
+            return IncarnationUpdate::Outdated;
         };
-        let heard = held.life.hear(report.server.life, Speaker::Other, now.unix);
-        if matches!(heard, Heard::Named | Heard::Another) {
-            held.since = now.at;
+        let heard = held.life.update(report.server.life, IncarnationSource::Relayed, now.unix);
+        if matches!(heard, IncarnationUpdate::Identified | IncarnationUpdate::Restarted) {
+            held.since = now.monotonic;
             self.stale = true;
         }
         heard
@@ -193,7 +194,7 @@
 
     /// Rebuilds the list from the last listing and the known incarnations. Returns the new version
     /// if a part changed.
-    pub fn rebuild(&mut self, term: Term, now: impl Into<Moment>) -> Option<ListVersion> {
+    pub fn rebuild(&mut self, term: Term, now: impl Into<Timestamp>) -> Option<ListVersion> {
         let listed = self.with_incarnations(now.into());
         self.servers = listed.iter().map(|it| it.server.clone()).collect();
         let groups = group_by_location(listed);
@@ -244,29 +245,29 @@
     /// Adds the incarnations to the servers of the last listing. The platform's list lags, so a
     /// shutdown notice may belong to an earlier incarnation; it is ignored until the list has shown
     /// it for long enough.
-    fn with_incarnations(&mut self, now: Moment) -> Vec<ListedServer> {
+    fn with_incarnations(&mut self, now: Timestamp) -> Vec<ListedServer> {
         let listed_at = self.listed_at.unwrap_or(now);
         self.stale = false;
         let mut listed = Vec::with_capacity(self.listing.len());
         for server in &self.listing {
             let fresh = || KnownIncarnation {
-                life: Life::seen_at(now.unix),
-                since: now.at,
+                life: ServerIncarnation::first_seen_at(now.unix),
+                since: now.monotonic,
                 addr: server.addr,
             };
             let held = self.lives.entry(server.id.clone()).or_insert_with(fresh);
             if held.addr != server.addr {
                 // A server has one address for its whole incarnation.
-                held.life.restart(now.unix);
-                (held.since, held.addr) = (now.at, server.addr);
+                held.life.mark_restarted(now.unix);
+                (held.since, held.addr) = (now.monotonic, server.addr);
             }
             let mut server = server.clone();
-            let known = listed_at.at.saturating_duration_since(held.since);
-            if server.leaving && !held.life.is_listed(listed_at.unix, known) {
+            let known = listed_at.monotonic.saturating_duration_since(held.since);
+            if server.leaving && !held.life.accepts_listing(listed_at.unix, known) {
                 (server.leaving, server.leaves_in) = (false, None);
                 self.stale = true;
             }
-            listed.push(ListedServer { server, incarnation: held.life.told() });
+            listed.push(ListedServer { server, incarnation: held.life.id() });
         }
         if self.lives.len() > 2 * listed.len() + UNLISTED_LIMIT {
             let there: HashSet<_> = listed.iter().map(|it| &it.server.id).collect();
@@ -351,7 +352,8 @@
     /// The encoded parts for an answer to a box, at most [`MAX_PARTS_PER_ANSWER`]. Parts that no
     /// longer exist are skipped.
     pub fn packed_parts(&self, wanted: &[PartId], now: Instant) -> PackedParts {
-        let elapsed = self.listed_at.map(|listed_at| now.saturating_duration_since(listed_at.at));
+        let elapsed =
+            self.listed_at.map(|listed_at| now.saturating_duration_since(listed_at.monotonic));
         let wanted = wanted.iter().take(MAX_PARTS_PER_ANSWER);
         let parts = wanted.filter_map(|id| Some(self.parts.get(id)?.pack(id))).collect();
         PackedParts { elapsed: elapsed.unwrap_or_default().into(), parts }
@@ -359,7 +361,8 @@
 
     /// The given parts, at most [`MAX_PARTS_PER_ANSWER`]. Parts that no longer exist are skipped.
     pub fn list_parts(&self, wanted: &[PartId], now: Instant) -> Vec<ListPart> {
-        let elapsed = self.listed_at.map(|listed_at| now.saturating_duration_since(listed_at.at));
+        let elapsed =
+            self.listed_at.map(|listed_at| now.saturating_duration_since(listed_at.monotonic));
         let elapsed = elapsed.unwrap_or_default();
         let found = wanted.iter().take(MAX_PARTS_PER_ANSWER).filter_map(|id| {
             let part = self.parts.get(id)?;
--- a/src/relay/lives.rs
+++ b/src/relay/lives.rs
@@ -13,7 +13,7 @@
 use super::call::ServerReport;
 use super::known::Known;
 use crate::backend::{Reuse, SendFault};
-use crate::decide::lives::Heard;
+use crate::decide::lives::IncarnationUpdate;
 
 /// How long a server may take. It needs no place for this, so one that is well answers at once.
 const ANSWER_TIME: Duration = Duration::from_millis(1_000);
@@ -38,7 +38,7 @@
             let heard = relay.servers.apply_report(&known, &report);
             relay.context.metrics.count_report("read");
             // The others hear it with this box's next word.
-            if heard == Heard::Another {
+            if heard == IncarnationUpdate::Restarted {
                 relay.heartbeat_requested.notify_one();
             }
         }
--- a/src/relay/servers.rs
+++ b/src/relay/servers.rs
@@ -15,7 +15,9 @@
 };
 use super::part_loads::{self, PartLoads};
 use super::placed::Placed;
-use crate::decide::lives::{DoubtQueue, Heard, Life, Speaker};
+use crate::decide::lives::{
+    IncarnationSource, IncarnationUpdate, RestartCheckQueue, ServerIncarnation,
+};
 use crate::decide::loads::LoadSample;
 use crate::decide::topology::Topology;
 use crate::ids::{BackendId, Incarnation, ServiceName};
@@ -132,12 +134,12 @@
     told: ArcSwap<RecentLoads>,
     parts: Mutex<Parts>,
     /// The lives of the servers that are known, or were a while ago.
-    lives: Mutex<HashMap<BackendId, Life>>,
+    lives: Mutex<HashMap<BackendId, ServerIncarnation>>,
     /// The servers whose lives the leader's list does not show.
     news: Mutex<BTreeSet<BackendId>>,
     /// The servers that are no longer listed and had said that they leave: lists of other parts bring some back.
     departed: Mutex<HashMap<BackendId, Arc<Known>>>,
-    doubts: Mutex<DoubtQueue>,
+    doubts: Mutex<RestartCheckQueue>,
     /// RecentLoads of each doubt.
     doubted: Notify,
 }
@@ -191,7 +193,7 @@
         let mut told: BTreeMap<ServiceName, Vec<_>> = BTreeMap::new();
         for load in loads {
             let known = listed.by_id.get(&load.server);
-            if let Some(known) = known.filter(|known| known.life.is_of(load.life)) {
+            if let Some(known) = known.filter(|known| known.life.matches(load.life)) {
                 let requests = load.faded(known.state.service_time()).round() as u32;
                 known.state.report(requests, 0, Duration::ZERO);
                 told.entry(known.server.service.clone()).or_default().push(known.clone());
@@ -213,33 +215,34 @@
     ///
     /// Where it has started again, nothing that was known of it holds: it is open, and what runs in the
     /// earlier life is over.
-    pub fn apply_incarnation(&self, asked: &Known, told: Incarnation) -> Heard {
+    pub fn apply_incarnation(&self, asked: &Known, told: Incarnation) -> IncarnationUpdate {
         // No two words change the servers at the same time.
         let _parts = self.parts();
         let id = &asked.server.id;
         let known = self.find(id).filter(|known| known.server.addr == asked.server.addr);
         let Some(known) = known else {
-            return Heard::Earlier;
+            return IncarnationUpdate::Outdated;
         };
         let mut life = known.life;
-        let heard = life.hear(told, Speaker::Server, UnixMillis::now());
+        let heard = life.update(told, IncarnationSource::Server, UnixMillis::now());
         if life == known.life {
             return heard;
         }
         let renewed = match heard {
-            Heard::Another => Known::fresh(known.server.clone(), life),
-            Heard::Named | Heard::Same | Heard::Earlier | Heard::Unbelieved => {
-                known.with(known.server.clone(), life)
-            }
+            IncarnationUpdate::Restarted => Known::fresh(known.server.clone(), life),
+            IncarnationUpdate::Identified
+            | IncarnationUpdate::Unchanged
+            | IncarnationUpdate::Outdated
+            | IncarnationUpdate::Rejected => known.with(known.server.clone(), life),
         };
         let mut by_id = self.listed.load().by_id.clone();
         by_id.insert(id.clone(), Arc::new(renewed));
         self.listed.store(Arc::new(KnownServers::new(self.topology.as_ref(), by_id)));
         lock(&self.lives).insert(id.clone(), life);
-        if matches!(heard, Heard::Named | Heard::Another) {
+        if matches!(heard, IncarnationUpdate::Identified | IncarnationUpdate::Restarted) {
             lock(&self.news).insert(id.clone());
         }
-        if heard == Heard::Another {
+        if heard == IncarnationUpdate::Restarted {
             end(&known, &life);
             self.told.store(Arc::default());
         }
@@ -247,12 +250,12 @@
     }
 
     /// Takes a server's report on itself, which it was asked for when `asked` was what was known of it.
-    pub fn apply_report(&self, asked: &Known, report: &ServerReport) -> Heard {
+    pub fn apply_report(&self, asked: &Known, report: &ServerReport) -> IncarnationUpdate {
         let id = &asked.server.id;
         let heard = self.apply_incarnation(asked, report.incarnation);
         match report.incarnation.is_none() {
-            true => lock(&self.doubts).settle_untold(id, Instant::now()),
-            false => lock(&self.doubts).settle(id),
+            true => lock(&self.doubts).resolve_unknown(id, Instant::now()),
+            false => lock(&self.doubts).resolve(id),
         }
         let Some(known) = self.find(id) else {
             return heard;
@@ -287,14 +290,14 @@
             return;
         }
         let random = rand::random();
-        if lock(&self.doubts).raise(&known.server.id, Instant::now(), random) {
+        if lock(&self.doubts).request(&known.server.id, Instant::now(), random) {
             self.doubted.notify_one();
         }
     }
 
     /// Whether servers are to be asked for a report, now or later.
     pub fn has_doubts(&self) -> bool {
-        lock(&self.doubts).next().is_some()
+        lock(&self.doubts).next_due().is_some()
     }
 
     /// The servers to ask for a report now; waits until there is one.
@@ -302,7 +305,7 @@
         loop {
             let (due, next) = {
                 let mut doubts = lock(&self.doubts);
-                (doubts.due(Instant::now()), doubts.next())
+                (doubts.take_due(Instant::now()), doubts.next_due())
             };
             let due: Vec<_> = due.iter().filter_map(|id| self.find(id)).collect();
             if !due.is_empty() {
@@ -393,11 +396,11 @@
             }
             // What nobody has named, or what the list names alike, gives no reason to ask.
             let is_back = before.is_none()
-                && life.is_some_and(|it| !it.told().is_none() && it.told() != listed.incarnation);
+                && life.is_some_and(|it| !it.id().is_none() && it.id() != listed.incarnation);
             if is_back || before.is_some_and(|it| it.server.addr != known.server.addr) {
                 self.doubt(&known);
             }
-            if listed.server.leaving && known.life.is_of(listed.incarnation) {
+            if listed.server.leaving && known.life.matches(listed.incarnation) {
                 let left = listed.server.leaves_in.map_or(LEAVE_TIME, Millis::duration);
                 if known.leave(left) {
                     leaving.push(id.clone());
@@ -406,7 +409,7 @@
                 self.doubt(&known);
             }
             if before.is_some_and(|it| it.life() < known.life()) {
-                lock(&self.doubts).settle(&id);
+                lock(&self.doubts).resolve(&id);
             }
             match known.life() > listed.incarnation {
                 true => news.insert(id.clone()),
@@ -426,7 +429,7 @@
             departed.clear();
         }
         drop(departed);
-        lock(&self.doubts).keep(|id| by_id.contains_key(id));
+        lock(&self.doubts).retain(|id| by_id.contains_key(id));
         *lock(&self.news) = news;
         self.listed.store(Arc::new(KnownServers::new(self.topology.as_ref(), by_id)));
         leaving
--- a/tests/server_lives.rs
+++ b/tests/server_lives.rs
@@ -8,7 +8,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use emberturn::decide::lives::{DoubtQueue, Heard, LIST_LAG, Life, Moment, Speaker};
+use emberturn::decide::lives::{
+    IncarnationSource, IncarnationUpdate, LIST_LAG, RestartCheckQueue, ServerIncarnation, Timestamp,
+};
 use emberturn::decide::loads::{LoadPool, LoadSample};
 use emberturn::ids::{BackendId, Incarnation, ServerKey, ServiceName, Term};
 use emberturn::relay::call::{ServerLoad, ServerReport};
@@ -189,7 +191,7 @@
         seed in any::<u64>(),
     ) {
         let base = UnixMillis::now();
-        let moment = |millis| Moment { at: Instant::now(), unix: UnixMillis(base.0 + millis) };
+        let moment = |millis| Timestamp { monotonic: Instant::now(), unix: UnixMillis(base.0 + millis) };
         let mut other = lives.clone();
         other.sort_by_key(|life| life.wrapping_mul(seed | 1));
         let newest = *lives.iter().max().unwrap();
@@ -230,7 +232,7 @@
     take(&book, 1, server(true), NONE);
     let before = known(&book);
     while !before.state.fail() {}
-    assert_eq!(book.apply_incarnation(&before, former()), Heard::Named);
+    assert_eq!(book.apply_incarnation(&before, former()), IncarnationUpdate::Identified);
     let after = known(&book);
     assert!(Arc::ptr_eq(&before.state, &after.state));
     assert!(!after.is_open() && after.state.is_ejected() && !after.state.is_over());
@@ -241,15 +243,15 @@
     let book = ServerTable::default();
     take(&book, 1, server(true), NONE);
     let before = known(&book);
-    assert_eq!(book.apply_incarnation(&before, later()), Heard::Another);
+    assert_eq!(book.apply_incarnation(&before, later()), IncarnationUpdate::Restarted);
     assert!(known(&book).is_open() && before.state.is_over());
 }
 
 #[test]
 fn life_that_no_server_can_be_in_is_not_believed() {
-    let mut life = Life::seen_at(UnixMillis(1_000));
-    let heard = life.hear(Incarnation(u64::MAX), Speaker::Server, UnixMillis(1_000));
-    assert_eq!((heard, life.told()), (Heard::Unbelieved, NONE));
+    let mut life = ServerIncarnation::first_seen_at(UnixMillis(1_000));
+    let heard = life.update(Incarnation(u64::MAX), IncarnationSource::Server, UnixMillis(1_000));
+    assert_eq!((heard, life.id()), (IncarnationUpdate::Rejected, NONE));
 }
 
 #[test]
@@ -258,7 +260,10 @@
     let hearer = Hearer::new(earlier);
     let asked = hearer.first.clone();
     hearer.book.apply_incarnation(&asked, later);
-    assert_eq!(hearer.book.apply_report(&asked, &report(earlier, 8, true)), Heard::Earlier);
+    assert_eq!(
+        hearer.book.apply_report(&asked, &report(earlier, 8, true)),
+        IncarnationUpdate::Outdated
+    );
     assert_eq!(hearer.sees(), (later, true, false, false, None));
     // One that names no life is of the life that was asked.
     hearer.book.apply_report(&asked, &report(NONE, 8, true));
@@ -320,8 +325,8 @@
 fn notice_is_of_a_new_life_only_if_the_list_goes_on_showing_it() {
     let start = Instant::now();
     let base = UnixMillis::now();
-    let moment = |millis: u64| Moment {
-        at: start + Duration::from_millis(millis),
+    let moment = |millis: u64| Timestamp {
+        monotonic: start + Duration::from_millis(millis),
         unix: UnixMillis(base.0 + millis),
     };
     let lag = LIST_LAG.as_millis() as u64;
@@ -347,7 +352,10 @@
 #[test]
 fn clock_that_is_behind_holds_no_notice_back_for_long() {
     let (start, base) = (Instant::now(), UnixMillis::now());
-    let moment = |time: Duration| Moment { at: start + time, unix: UnixMillis(base.0 - 3_600_000) };
+    let moment = |time: Duration| Timestamp {
+        monotonic: start + time,
+        unix: UnixMillis(base.0 - 3_600_000),
+    };
     let mut leader = ListRegistry::default();
     leader.apply_listing(Term(1), vec![server(false)], moment(Duration::ZERO));
     leader.apply_incarnation(&told(Incarnation(base.0)), moment(Duration::ZERO));
@@ -362,11 +370,14 @@
     leader.apply_incarnation(&told(former()), Instant::now());
     let moved = Server { addr: addr(2), ..server(false) };
     leader.apply_listing(Term(1), vec![moved.clone()], Instant::now());
-    assert_eq!(leader.apply_incarnation(&told(former()), Instant::now()), Heard::Earlier);
+    assert_eq!(
+        leader.apply_incarnation(&told(former()), Instant::now()),
+        IncarnationUpdate::Outdated
+    );
     assert_eq!(shown(&mut leader), (NONE, false));
     let mut new = ListRegistry::default();
     new.apply_listing(Term(2), vec![moved.clone()], Instant::now());
-    assert_eq!(new.apply_incarnation(&told(former()), Instant::now()), Heard::Earlier);
+    assert_eq!(new.apply_incarnation(&told(former()), Instant::now()), IncarnationUpdate::Outdated);
     new.rebuild(Term(2), Instant::now());
     assert_eq!(shown(&mut new), (NONE, false));
     let book = ServerTable::default();
@@ -377,32 +388,32 @@
 
 #[test]
 fn doubted_server_is_asked_once_in_a_while_and_not_for_ever() {
-    let (mut doubts, start) = (DoubtQueue::default(), Instant::now());
+    let (mut doubts, start) = (RestartCheckQueue::default(), Instant::now());
     let id: BackendId = server(false).id;
-    assert!(doubts.raise(&id, start, 0.0) && !doubts.raise(&id, start, 0.0));
+    assert!(doubts.request(&id, start, 0.0) && !doubts.request(&id, start, 0.0));
     let mut asked = Vec::new();
     for step in 0..3_000 {
         let now = start + Duration::from_millis(100 * step);
-        if !doubts.due(now).is_empty() {
+        if !doubts.take_due(now).is_empty() {
             asked.push(now);
         }
     }
     assert!(asked.windows(2).all(|pair| pair[1] - pair[0] >= Duration::from_secs(1)));
-    assert_eq!((asked.len(), doubts.next()), (8, None));
-    assert!(doubts.raise(&id, start + Duration::from_secs(300), 0.0));
-    doubts.settle(&id);
-    assert_eq!(doubts.next(), None);
+    assert_eq!((asked.len(), doubts.next_due()), (8, None));
+    assert!(doubts.request(&id, start + Duration::from_secs(300), 0.0));
+    doubts.resolve(&id);
+    assert_eq!(doubts.next_due(), None);
 }
 
 #[test]
 fn server_that_tells_no_life_is_rarely_asked() {
-    let (mut doubts, start) = (DoubtQueue::default(), Instant::now());
+    let (mut doubts, start) = (RestartCheckQueue::default(), Instant::now());
     let id: BackendId = server(false).id;
-    doubts.raise(&id, start, 0.0);
-    assert_eq!(doubts.due(start), std::slice::from_ref(&id));
-    doubts.settle_untold(&id, start);
-    doubts.raise(&id, start, 0.0);
-    assert_eq!(doubts.next(), Some(start + Duration::from_secs(30)));
+    doubts.request(&id, start, 0.0);
+    assert_eq!(doubts.take_due(start), std::slice::from_ref(&id));
+    doubts.resolve_unknown(&id, start);
+    doubts.request(&id, start, 0.0);
+    assert_eq!(doubts.next_due(), Some(start + Duration::from_secs(30)));
 }
 
 #[test]
