--- a/src/decide/lives.rs
+++ b/src/decide/lives.rs
@@ -1,11 +1,13 @@
-//! Which life a backend server is in, and when a box asks it.
+//! Tracks which incarnation a backend server is in, and schedules the checks for a restart.
 //!
-//! A server may start again under its id, at the same address or at another. It then holds nothing of
-//! before, so what is known of it must not outlive its life. The platform's list tells no lives: a box
-//! asks the server itself when something makes it doubt, and tells the others what it heard.
+//! A server may restart under its ID, at the same or another address. It then has lost all its
+//! state, so what is known about it must not be carried over. The platform's list does not show
+//! incarnations: when a box suspects a restart it asks the server itself, and tells the other boxes
+//! what it learned.
 //!
-//! A life is the Unix millisecond at which it began, by the server's own word. Lives only grow: a word of
-//! an earlier one changes nothing, in whatever order words arrive.
+//! An incarnation is identified by the Unix time in milliseconds at which it started, as the server
+//! reports it. IDs only grow: a report of an earlier incarnation changes nothing, so reports may
+//! arrive in any order.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -13,24 +15,25 @@
 use crate::ids::{BackendId, Incarnation};
 use crate::units::UnixMillis;
 
-/// How far a clock may be ahead for a server's word of its start to be believed: a word that no later one
-/// can ever exceed would bar every start to come.
+/// How far in the future a reported start may lie. Without a bound, an ID that no later one can
+/// exceed would hide all later restarts.
 const MAX_CLOCK_LEAD: Duration = Duration::from_secs(24 * 3_600);
 
-/// How exactly the clocks of a box and a server are taken to agree.
+/// Assumed difference between the clocks of a box and a server.
 const CLOCK_TOLERANCE: Duration = Duration::from_secs(1);
 
-/// How old what the platform's list shows may be: it runs about a second behind, and is read every half
-/// second. What is read later than this after a life began is of that life. Shorter than a server that
-/// leaves serves on, so that the notice of a life that is itself leaving is heard in time.
+/// Assumed maximum age of the platform's list: it lags by about a second and is read every half
+/// second. What is read later than this after an incarnation started belongs to that incarnation.
+/// Shorter than the time for which a leaving server goes on serving, so that the notice of an
+/// incarnation that is itself leaving is noticed in time.
 pub const LIST_LAG: Duration = Duration::from_secs(2);
 
-/// A moment, by the clock that only goes on and by the time of day.
+/// A point in time by the monotonic clock and by the wall clock.
 #[derive(Debug, Clone, Copy)]
 pub struct Timestamp {
-    /// By the clock that only goes on.
+    /// By the monotonic clock.
     pub monotonic: Instant,
-    /// By the time of day, as servers tell their starts.
+    /// By the wall clock, which servers use to report their start.
     pub unix: UnixMillis,
 }
 
@@ -40,67 +43,69 @@
     }
 }
 
-/// What a word of a server's life changes.
+/// The effect of a report of a server's incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IncarnationUpdate {
-    /// Nothing: it names the life that is known, or none.
+    /// None: the report names the known incarnation, or none.
     Unchanged,
-    /// The life that is known has a name now; what is known of it stands.
+    /// The ID of the current incarnation has become known. What is known about the server remains
+    /// valid.
     Identified,
-    /// The server has started again: nothing that was known of it holds.
+    /// The server has restarted. What was known about it is no longer valid.
     Restarted,
-    /// It is of an earlier life, and to be passed over.
+    /// The report is of an earlier incarnation and is ignored.
     Outdated,
-    /// It names no time at which a server can have started.
+    /// The reported ID cannot be a start time and is ignored.
     Rejected,
 }
 
-/// Who says which life a server is in.
+/// Where a report of an incarnation comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IncarnationSource {
-    /// The server itself, asked by this process.
+    /// From the server itself, asked by this process.
     Server,
-    /// Another process, of what it was told: the word may be old.
+    /// From another process that passes on what it was told. May be outdated.
     Relayed,
 }
 
-/// The life that a server is in, as far as is known.
+/// The incarnation of a server, as far as it is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerIncarnation {
-    /// The life; 0 where nothing has told it.
+    /// ID of the incarnation; 0 if unknown.
     id: Incarnation,
-    /// Whether the server itself has told it.
+    /// Whether the server itself has reported the ID.
     is_confirmed: bool,
-    /// When the server was first known in it.
+    /// When the server was first seen in this incarnation.
     first_seen: UnixMillis,
-    /// Whether it followed on another one.
+    /// Whether an earlier incarnation was known.
     has_restarted: bool,
-    /// The latest life that is known to be over.
+    /// The latest incarnation known to have ended.
     last_ended: Incarnation,
 }
 
 impl ServerIncarnation {
-    /// The life, not told yet, of a server that is first known now.
+    /// The incarnation, with unknown ID, of a server that is first seen now.
     pub fn first_seen_at(now: UnixMillis) -> Self {
         let (id, last_ended) = Default::default();
         Self { id, is_confirmed: false, first_seen: now, has_restarted: false, last_ended }
     }
 
-    /// Its name; 0 where nothing has told it.
+    /// ID of the incarnation; 0 if unknown.
     pub fn id(&self) -> Incarnation {
         self.id
     }
 
-    /// Whether a word that names `life`, or none, is of this life. Where the server is known to have started
-    /// again, a word that names none may be of an earlier one.
+    /// Whether a message that names the incarnation `id`, or none, is about this incarnation. Once
+    /// the server is known to have restarted, a message that names none may be about an earlier
+    /// incarnation.
     pub fn matches(&self, id: Incarnation) -> bool {
         id == self.id || (id.is_none() && !self.has_restarted)
     }
 
-    /// Takes a word of the life that the server is in.
+    /// Applies a report of the server's incarnation.
     ///
-    /// One that began before the server was known is the life that is known, whatever an older word had
-    /// named it; unless the server itself had named another since.
+    /// An ID from before the server was first seen belongs to the known incarnation, even if an
+    /// earlier report gave it another ID, unless the server itself has reported one since.
     pub fn update(
         &mut self,
         id: Incarnation,
@@ -135,7 +140,7 @@
         IncarnationUpdate::Restarted
     }
 
-    /// Takes that the server is in another life, which is not told yet.
+    /// Records that the server has restarted, while the new ID is unknown.
     pub fn mark_restarted(&mut self, now: UnixMillis) {
         let last_ended = self.id.max(self.last_ended);
         *self = Self {
@@ -147,52 +152,54 @@
         };
     }
 
-    /// Whether a listing that was read at `read` is of this life as well: the list lags, and may show what
-    /// was true of an earlier one. `known` is for how long the life has been known: a clock that is behind
-    /// holds a notice back no longer than this.
+    /// Whether a listing read at `listed_at` is about this incarnation. The list lags and may show
+    /// the state of an earlier one. `known_for` is how long the incarnation has been known: it
+    /// bounds the delay of a notice by a clock that is behind.
     pub fn accepts_listing(&self, listed_at: UnixMillis, known_for: Duration) -> bool {
         let lag = LIST_LAG.as_millis() as u64;
         self.id.is_none() || listed_at.0 >= self.id.0 + lag || known_for >= LIST_LAG
     }
 }
 
-/// Time within which boxes that doubt a server at the same moment ask it: the others mostly hear the life
-/// from the first before their turn comes.
+/// Boxes that suspect a restart at the same moment ask within this time. Most of them learn the
+/// result from the first one before they ask themselves.
 const MAX_START_DELAY: Duration = Duration::from_millis(500);
 
-/// Time between two questions to one server, doubled each time up to [`MAX_RETRY_INTERVAL`].
+/// Base interval between two requests to a server. The n-th request is followed by a wait of 2^n
+/// times this, up to [`MAX_RETRY_INTERVAL`].
 const BASE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The longest time between two questions to one server.
+/// Maximum interval between two requests to a server.
 const MAX_RETRY_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Questions to a server without an answer before it is no longer asked until something new makes doubt.
+/// Number of unanswered requests after which a server is not asked again until there is a new
+/// reason.
 const MAX_ATTEMPTS: u32 = 8;
 
-/// Servers asked at a time.
+/// Maximum number of servers asked at a time.
 const MAX_CHECKS_AT_ONCE: usize = 8;
 
 #[derive(Debug, Clone, Copy)]
 struct RestartCheck {
-    /// When it is asked next.
+    /// When the server is asked next.
     next_at: Instant,
-    /// Before when it is not asked.
+    /// Earliest time at which it may be asked, if it was asked before.
     not_before: Option<Instant>,
-    /// Questions since the doubt arose.
+    /// Requests made since the restart was suspected.
     attempts: u32,
-    /// Whether there is something to ask.
+    /// Whether there is still something to ask.
     is_pending: bool,
 }
 
-/// The servers that may have started again, and when they are asked.
+/// Servers that may have restarted, and when to ask them.
 #[derive(Debug, Default)]
 pub struct RestartCheckQueue {
     checks: BTreeMap<BackendId, RestartCheck>,
 }
 
 impl RestartCheckQueue {
-    /// Notes that something makes doubt whether a server is in the life that is known; whether that is
-    /// news. `random` is a number from 0 to 1.
+    /// Requests a check of whether a server is still in the known incarnation. Returns `false` if
+    /// one is already pending. `random` is a random number from 0 to 1.
     pub fn request(&mut self, server: &BackendId, now: Instant, random: f64) -> bool {
         let soon = now + MAX_START_DELAY.mul_f64(random);
         let held = self.checks.get(server);
@@ -208,7 +215,7 @@
         true
     }
 
-    /// The servers to ask now, [`MAX_CHECKS_AT_ONCE`] at most.
+    /// Returns the servers to ask now, at most [`MAX_CHECKS_AT_ONCE`].
     pub fn take_due(&mut self, now: Instant) -> Vec<BackendId> {
         let due =
             self.checks.iter_mut().filter(|(_, check)| check.is_pending && check.next_at <= now);
@@ -223,19 +230,20 @@
         due.collect()
     }
 
-    /// When the next server is to be asked.
+    /// When the next server is due.
     pub fn next_due(&self) -> Option<Instant> {
         self.checks.values().filter(|check| check.is_pending).map(|check| check.next_at).min()
     }
 
-    /// Notes that a server's life is known: nothing is to be asked before something makes doubt again.
+    /// Records that a server's incarnation is known. Nothing is asked until there is a new reason.
     pub fn resolve(&mut self, server: &BackendId) {
         if let Some(check) = self.checks.get_mut(server) {
             check.is_pending = false;
         }
     }
 
-    /// Notes that a server answered and told no life: to ask it again soon is of little use.
+    /// Records that a server answered without naming its incarnation. Asking again soon would be of
+    /// little use.
     pub fn resolve_unknown(&mut self, server: &BackendId, now: Instant) {
         self.resolve(server);
         if let Some(check) = self.checks.get_mut(server) {
@@ -243,7 +251,7 @@
         }
     }
 
-    /// Forgets the servers that are not there.
+    /// Drops the servers that are no longer known.
     pub fn retain(&mut self, is_known: impl Fn(&BackendId) -> bool) {
         self.checks.retain(|server, _| is_known(server));
     }
