--- a/src/decide/exposure.rs
+++ b/src/decide/exposure.rs
@@ -1,10 +1,11 @@
-//! How many requests may go to a release that is being tried.
+//! Limits how many requests a release on trial may receive.
 //!
-//! A release that turns out bad must not have got more than a part of its service's requests between the
-//! order and its deadline. So boxes send to it by permits only: the leader grants them for a short time,
-//! never more in all, used or not, than the part of what has come so far. A box that hears nothing has
-//! no permits, and the group knows a bound before a leader grants up to it, so a new leader grants no
-//! more than what is left for certain.
+//! By the deadline of a roll-out, a release that turns out bad must have received no more than a given
+//! fraction of its service's requests. Relays therefore need a permit for each request that they send to it.
+//! The leader grants permits for a short time, and the total of granted permits, used or not, never exceeds
+//! that fraction of the requests so far. A relay that does not hear from the leader loses its permits. The
+//! group stores an upper bound before a leader grants up to it, so a new leader never grants more than what
+//! certainly remains.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -13,49 +14,50 @@
 
 use crate::ids::{BoxId, Incarnation};
 
-/// How long a permit holds after the word that it answers: three beats of a box. Without a leader all
-/// traffic is back at the former release that long after the last word.
+/// How long a permit is valid after the report that it answers: three heartbeats of a relay. Without a
+/// leader, all traffic returns to the previous release that long after the last report.
 pub const PERMIT_TIME: Duration = Duration::from_millis(1_200);
 
-/// The part of the requests allowed that all of a roll-out uses: the rest is for what clocks and
-/// late words get wrong.
-pub(super) const WHOLE_PART: f64 = 0.9;
+/// The fraction of the allowed requests that a roll-out uses in total. The rest covers clock errors and
+/// delayed messages.
+pub(super) const ROLLOUT_FRACTION: f64 = 0.9;
 
-/// The part of these that a trial uses, at least and at most. What is left is for the traffic that goes to
-/// the new release between the shift and the deadline: the more a trial takes, the shorter that is, and
-/// streams at former servers need time to end.
-const TRIAL_PART: (f64, f64) = (0.3, 0.7);
+/// The minimum and maximum fraction of these that a trial uses. The rest is for the traffic that goes to the
+/// new release between the shift and the deadline: the more a trial uses, the shorter that time is, and
+/// streams on the previous servers need time to end.
+const TRIAL_FRACTION: (f64, f64) = (0.3, 0.7);
 
-/// Seconds of all traffic that a trial leaves for the shift, where it can.
+/// Seconds of all traffic that a trial leaves for the shift, where possible.
 const SHIFT_TIME: f64 = 1.0;
 
-/// How far beyond what was granted the group's bound is moved, as a part of what a trial may use in the
-/// end: some ten synced entries of the log for a whole trial.
-const AHEAD_PART: f64 = 0.1;
+/// How far the bound stored by the group is moved beyond the granted permits, as a fraction of what a trial
+/// may use in total. It limits a trial to about ten synced log entries.
+const AHEAD_FRACTION: f64 = 0.1;
 
-/// The fewest requests by which the bound is moved.
-const LEAST_AHEAD: u64 = 8;
+/// The minimum number of requests by which the bound is moved.
+const MIN_AHEAD: u64 = 8;
 
-/// What the operators allow a release that may be bad.
+/// The number of requests that operators allow to go to a possibly bad release.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ExposureLimit {
-    /// The part of all requests of the service.
+    /// The fraction of all requests of the service.
     pub share: f64,
-    /// Requests on top.
+    /// An absolute number of requests in addition.
     pub slack: f64,
 }
 
 impl ExposureLimit {
-    /// Requests that a trial may have sent when `came` requests came so far, `rate` a second.
+    /// The number of requests that a trial may have sent once `came` requests arrived in total, at `rate`
+    /// per second.
     pub fn for_trial(self, came: u64, rate: f64) -> u64 {
-        let allowed = (self.share * came as f64 + self.slack) * WHOLE_PART;
+        let allowed = (self.share * came as f64 + self.slack) * ROLLOUT_FRACTION;
         let trial = allowed - rate * SHIFT_TIME;
-        trial.clamp(allowed * TRIAL_PART.0, allowed * TRIAL_PART.1) as u64
+        trial.clamp(allowed * TRIAL_FRACTION.0, allowed * TRIAL_FRACTION.1) as u64
     }
 
-    /// How long before the deadline all traffic may go to the new release, in seconds, for it to get no more
-    /// than `part` of what is allowed, where `came` requests came in `passed` of `whole` seconds and `exposed`
-    /// of them may have gone there.
+    /// How long before the deadline, in seconds, all traffic may go to the new release without exceeding the
+    /// fraction `part` of the allowed requests, given that `came` requests arrived in `passed` of `whole`
+    /// seconds and `exposed` of them may have gone there.
     pub fn shift_time(self, part: f64, came: u64, exposed: u64, passed: f64, whole: f64) -> f64 {
         let rate = came as f64 / passed.max(f64::MIN_POSITIVE);
         let expected = rate * whole;
@@ -64,24 +66,24 @@
     }
 }
 
-/// The permits of one box.
+/// The permits held by one relay.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Permits {
     left: u64,
-    /// Permits used in the life of the process, and how many of them were told.
+    /// The permits used since the process started, and how many of them were reported.
     used: u64,
-    told: u64,
-    /// The words told.
-    turn: u64,
-    /// When the word went out that the last answer was to.
-    sent: Option<Instant>,
-    heard: Option<Instant>,
+    reported: u64,
+    /// The number of the last report.
+    sequence: u64,
+    /// When the report was sent that the last answer belongs to.
+    report_sent: Option<Instant>,
+    valid_from: Option<Instant>,
 }
 
 impl Permits {
-    /// Takes a permit, if there is one.
+    /// Takes a permit and returns whether there was one.
     pub fn take(&mut self, now: Instant) -> bool {
-        let holds = self.is_heard(now) && self.left > 0;
+        let holds = self.is_valid(now) && self.left > 0;
         if holds {
             self.left -= 1;
             self.used += 1;
@@ -89,7 +91,7 @@
         holds
     }
 
-    /// Gives a permit back: nothing was sent. One of another roll-out is none of this one.
+    /// Returns a permit for a request that was not sent. A permit taken in another roll-out is ignored.
     pub fn give_back(&mut self) {
         if self.used > 0 {
             self.left += 1;
@@ -102,96 +104,103 @@
         self.left = 0;
     }
 
-    /// Whether the leader's last word still holds.
-    pub fn is_heard(&self, now: Instant) -> bool {
-        self.heard.is_some_and(|heard| now < heard + PERMIT_TIME)
+    /// Whether the leader's last answer is still valid.
+    pub fn is_valid(&self, now: Instant) -> bool {
+        self.valid_from.is_some_and(|valid_from| now < valid_from + PERMIT_TIME)
     }
 
-    /// What is to be said in the word that goes out now.
-    pub fn tell(&mut self, now: Instant) -> PermitWord {
-        if !self.is_heard(now) {
+    /// Builds the report that is sent now.
+    pub fn report(&mut self, now: Instant) -> PermitReport {
+        if !self.is_valid(now) {
             self.left = 0;
         }
-        self.turn += 1;
-        self.told = self.used;
-        self.sent = Some(now);
-        PermitWord { turn: self.turn, used: self.used, reach: self.used + self.left }
+        self.sequence += 1;
+        self.reported = self.used;
+        self.report_sent = Some(now);
+        PermitReport { sequence: self.sequence, used: self.used, max_used: self.used + self.left }
     }
 
-    /// Takes the permits of the answer to the last word. What was used meanwhile counts against them.
-    pub fn hear(&mut self, granted: u64) {
-        self.left = granted.saturating_sub(self.used.saturating_sub(self.told));
-        self.heard = self.sent;
+    /// Applies the answer to the last report. Permits used since that report count against the granted ones.
+    pub fn apply_grant(&mut self, granted: u64) {
+        self.left = granted.saturating_sub(self.used.saturating_sub(self.reported));
+        self.valid_from = self.report_sent;
     }
 }
 
-/// What a box says of its permits.
+/// A relay's report of its permits.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PermitWord {
-    /// Which of its words this is.
-    pub turn: u64,
-    /// Permits used in the life of its process.
+pub struct PermitReport {
+    /// The sequence number of the report.
+    #[serde(rename = "turn")]
+    pub sequence: u64,
+    /// Permits used since the process started.
     pub used: u64,
-    /// What that may come to without another answer.
-    pub reach: u64,
+    /// The maximum that `used` may reach without another answer.
+    #[serde(rename = "reach")]
+    pub max_used: u64,
 }
 
-/// What a box may use, or may have used.
+/// The permits of one relay, as known to the leader.
 #[derive(Debug, Clone, Copy, Default)]
-struct Grant {
-    /// What was used when this leader first heard of the box: former ones granted it.
+struct RelayGrant {
+    /// The permits used when this leader first heard from the relay; former leaders granted them.
     base: u64,
-    turn: u64,
-    /// What its use may come to since then, whichever of the leader's answers it heard.
-    reach: u64,
+    sequence: u64,
+    /// The maximum that may have been used since then, whichever of the leader's answers arrived.
+    max_used: u64,
 }
 
-/// What a leader has granted.
+/// The permits granted by a leader.
 #[derive(Debug, Clone, Default)]
-pub struct Exposure {
-    boxes: BTreeMap<(BoxId, Incarnation), Grant>,
-    /// What may have been used in all: what former leaders may have granted, and the reach of all boxes.
+pub struct PermitGrants {
+    relays: BTreeMap<(BoxId, Incarnation), RelayGrant>,
+    /// The maximum that may have been used in total: what former leaders may have granted plus the maxima of
+    /// all relays.
     committed: u64,
 }
 
-impl Exposure {
-    /// The permits of a new leader, before which so many may have been granted.
+impl PermitGrants {
+    /// The state of a new leader, where former ones may have granted up to `inherited` permits.
     pub fn new(inherited: u64) -> Self {
-        Self { boxes: BTreeMap::new(), committed: inherited }
+        Self { relays: BTreeMap::new(), committed: inherited }
     }
 
-    /// Requests that may have gone to the new release, or may go there by what boxes hold.
+    /// The number of requests that went to the new release or may still go there with the permits held.
     pub fn committed(&self) -> u64 {
         self.committed
     }
 
-    /// Takes a box's word, and grants up to `wanted` permits where `bound` allows it. A word that was
-    /// overtaken by a later one gets nothing.
+    /// Records a relay's report and grants up to `wanted` permits within `bound`. Reports that arrive out of
+    /// order are granted nothing.
     pub fn grant(
         &mut self,
         key: (BoxId, Incarnation),
-        word: PermitWord,
+        report: PermitReport,
         wanted: u64,
         bound: u64,
     ) -> u64 {
-        let first = Grant { base: word.used, ..Grant::default() };
-        let grant = self.boxes.entry(key).or_insert(first);
-        if word.turn <= grant.turn {
+        let first = RelayGrant { base: report.used, ..RelayGrant::default() };
+        let grant = self.relays.entry(key).or_insert(first);
+        if report.sequence <= grant.sequence {
             return 0;
         }
-        let others = self.committed - grant.reach;
-        let used = word.used.saturating_sub(grant.base);
+        let others = self.committed - grant.max_used;
+        let used = report.used.saturating_sub(grant.base);
         let granted = wanted.min(bound.saturating_sub(others + used));
-        let held = word.reach.saturating_sub(grant.base);
-        *grant = Grant { base: grant.base, turn: word.turn, reach: held.max(used + granted) };
-        self.committed = others + grant.reach;
+        let held = report.max_used.saturating_sub(grant.base);
+        *grant = RelayGrant {
+            base: grant.base,
+            sequence: report.sequence,
+            max_used: held.max(used + granted),
+        };
+        self.committed = others + grant.max_used;
         granted
     }
 
-    /// The bound that the group is to know before more is granted, if it is to be moved: `noted` is the one it
-    /// knows, `allowed` what a trial may use by now, `most` what it may use in the end.
+    /// The bound that the group must store before more is granted, or `None` if it need not move. `noted` is
+    /// the stored bound, `allowed` what a trial may use by now, and `most` what it may use in total.
     pub fn next_bound(&self, noted: u64, allowed: u64, most: u64) -> Option<u64> {
-        let ahead = ((most as f64 * AHEAD_PART) as u64).max(LEAST_AHEAD);
+        let ahead = ((most as f64 * AHEAD_FRACTION) as u64).max(MIN_AHEAD);
         let wanted = (self.committed + ahead).min(allowed);
         (wanted > noted && self.committed + ahead / 2 > noted).then_some(wanted)
     }
--- a/src/decide/releases.rs
+++ b/src/decide/releases.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::exposure::{PermitWord, Permits};
+use super::exposure::{PermitReport, Permits};
 use super::verdict::{AnswerStats, RelativeLatency, RouteComparison, Verdict, evaluate};
 use crate::ids::{Release, ServiceName};
 
@@ -21,7 +21,7 @@
     #[serde(rename = "came")]
     pub requests: u64,
     /// State of the box's permits.
-    pub permits: PermitWord,
+    pub permits: PermitReport,
     /// Answers on each route.
     pub routes: BTreeMap<String, RouteComparison>,
 }
@@ -114,7 +114,7 @@
             return former;
         };
         trial.requests += u64::from(is_first);
-        if trial.stopped || !trial.permits.is_heard(now) {
+        if trial.stopped || !trial.permits.is_valid(now) {
             return former;
         }
         let new = |uses_permit| ReleaseChoice { release: trial.release.clone(), uses_permit };
@@ -185,7 +185,7 @@
             let report = TrialReport {
                 ordered: trial.ordered,
                 requests: trial.requests,
-                permits: trial.permits.tell(now),
+                permits: trial.permits.report(now),
                 routes: trial.routes.clone(),
             };
             (service.clone(), report)
@@ -214,7 +214,7 @@
             trial.all_traffic = grant.all_traffic;
             trial.report_often = grant.report_often;
             if !is_new {
-                trial.permits.hear(grant.permits);
+                trial.permits.apply_grant(grant.permits);
             }
             releases.trial = Some(trial);
         }
--- a/src/decide/rollout.rs
+++ b/src/decide/rollout.rs
@@ -10,7 +10,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::exposure::{Exposure, ExposureLimit, WHOLE_PART};
+use super::exposure::{ExposureLimit, PermitGrants, ROLLOUT_FRACTION};
 use super::releases::TrialReport;
 use super::verdict::{MAX_ROUTE_LOG_ODDS, RouteComparison, Verdict, evaluate};
 use crate::ids::{BoxId, Incarnation};
@@ -81,7 +81,7 @@
                 let time = |part| {
                     limit.shift_time(part, self.requests, self.exposed, self.elapsed, self.duration)
                 };
-                let lead = time(WHOLE_PART).min(self.duration * MAX_SHIFT_SHARE);
+                let lead = time(ROLLOUT_FRACTION).min(self.duration * MAX_SHIFT_SHARE);
                 let lead = lead.max(end + PROPAGATION_TIME).min(time(1.0));
                 (self.ready && left <= lead).then_some(Phase::Shift)
             }
@@ -119,7 +119,7 @@
 #[derive(Debug)]
 pub struct RolloutTracker {
     ordered: u64,
-    exposure: Exposure,
+    exposure: PermitGrants,
     reports: BTreeMap<(BoxId, Incarnation), BoxReport>,
     /// Requests over all reports, and the time of the first report.
     requests: u64,
@@ -137,7 +137,7 @@
     pub fn new(rollout: &Rollout) -> Self {
         Self {
             ordered: rollout.ordered,
-            exposure: Exposure::new(rollout.exposed),
+            exposure: PermitGrants::new(rollout.exposed),
             reports: BTreeMap::new(),
             requests: 0,
             first_report_at: None,
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use emberturn::decide::exposure::{Exposure, ExposureLimit, PERMIT_TIME, Permits};
+use emberturn::decide::exposure::{ExposureLimit, PERMIT_TIME, PermitGrants, Permits};
 use emberturn::decide::releases::{AnswerOutcome, ReleaseTable, ReleaseUpdate, TrialGrant};
 use emberturn::decide::rollout::{RolloutTracker, next_step};
 use emberturn::decide::verdict::{RelativeLatency, RouteComparison, Verdict, evaluate};
@@ -131,7 +131,7 @@
     ) {
         let base = Instant::now();
         let (mut noted, mut used) = (0_u64, 0_u64);
-        let mut exposure = Exposure::new(0);
+        let mut exposure = PermitGrants::new(0);
         let mut boxes: Vec<_> = (0..4).map(|_| (1_u64, Permits::default())).collect();
         let mut now = 0.0;
         for (place, kind, amount) in moves {
@@ -141,11 +141,11 @@
             match kind {
                 // A word, its answer heard, lost, or the word itself lost.
                 0..=4 => {
-                    let told = permits.tell(at);
+                    let told = permits.report(at);
                     if kind < 4 {
                         let granted = exposure.grant(key, told, amount, noted);
                         if kind < 3 {
-                            permits.hear(granted);
+                            permits.apply_grant(granted);
                         }
                     }
                 }
@@ -156,7 +156,7 @@
                 }
                 9 => (*life, *permits) = (*life + 1, Permits::default()),
                 10 => noted += amount,
-                _ => exposure = Exposure::new(noted),
+                _ => exposure = PermitGrants::new(noted),
             }
             now += 0.17;
             prop_assert!(used <= noted, "{} used of {}", used, noted);
@@ -167,8 +167,8 @@
 #[test]
 fn permits_lapse_without_word_from_a_leader() {
     let (now, mut permits) = (Instant::now(), Permits::default());
-    permits.tell(now);
-    permits.hear(2);
+    permits.report(now);
+    permits.apply_grant(2);
     assert!(permits.take(now));
     assert!(!permits.take(now + PERMIT_TIME));
 }
@@ -200,21 +200,21 @@
 fn permit_given_back_late_is_none_of_the_next_roll_out() {
     let now = Instant::now();
     let mut permits = Permits::default();
-    permits.tell(now);
-    permits.hear(1);
+    permits.report(now);
+    permits.apply_grant(1);
     assert!(permits.take(now));
     // Told as used, given back, and then answered.
-    permits.tell(now);
+    permits.report(now);
     permits.give_back();
-    permits.hear(0);
+    permits.apply_grant(0);
     assert!(!permits.take(now));
     // Given back to a roll-out that granted none.
     let mut next = Permits::default();
-    next.tell(now);
-    next.hear(0);
+    next.report(now);
+    next.apply_grant(0);
     next.give_back();
     assert!(!next.take(now));
-    assert_eq!(next.tell(now).reach, 0);
+    assert_eq!(next.report(now).max_used, 0);
 }
 
 /// The leader's word of a trial.
