--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits that hold over all boxes: teams' allowances, the retry budget, usage windows.
+//! Limits that apply to all boxes together: teams' rate limits, retry budgets and usage windows.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, UNIX_EPOCH};
@@ -17,34 +17,28 @@
 
 const LIMIT: RateLimit = RateLimit { rate: 1_000.0, burst: 1_000.0 };
 
-/// A box's word, the first of its life.
-fn word(total: f64, wanted: f64) -> TeamReport {
+/// A box's report about a team, the first of its incarnation.
+fn team_report(total: f64, wanted: f64) -> TeamReport {
     let demand = TeamDemand { total, wanted, demand_rate: 100.0, ..TeamDemand::default() };
     TeamReport { incarnation: Incarnation(1), seq: 1, demand }
 }
 
 #[test]
-fn what_is_left_goes_to_the_box_that_wants_it() {
+fn box_with_more_demand_is_granted_more() {
     let all: Vec<BoxId> = (0..4).map(|place| format!("box-{place}").parse().unwrap()).collect();
-    let mut level = TokenBucket::new(0.0);
+    let mut bucket = TokenBucket::new(0.0);
     let mut amounts = BTreeMap::new();
     for round in 0..40_u32 {
         for box_id in &all {
             let busy = *box_id == all[0];
-            // Less than the rate, so that something is left.
+            // Less than the rate, so that the bucket does not run empty.
             let total = if busy { 300.0 * f64::from(round) } else { 0.0 };
-            let turn = u64::from(round) + 1;
-            let mut word = TeamReport { seq: turn, ..word(total, 0.0) };
-            word.demand.demand_rate = if busy { 750.0 } else { 10.0 };
-            let allowed = level.handle_report(
-                f64::from(round) * 0.4,
-                LIMIT,
-                ReserveNote::Low,
-                0,
-                box_id,
-                word,
-            );
-            amounts.insert(box_id.clone(), allowed.unwrap().amount);
+            let seq = u64::from(round) + 1;
+            let mut report = TeamReport { seq, ..team_report(total, 0.0) };
+            report.demand.demand_rate = if busy { 750.0 } else { 10.0 };
+            let now = f64::from(round) * 0.4;
+            let grant = bucket.handle_report(now, LIMIT, ReserveNote::Low, 0, box_id, report);
+            amounts.insert(box_id.clone(), grant.unwrap().amount);
         }
     }
     assert!(amounts[&all[0]] > 0.0, "{amounts:?}");
@@ -52,65 +46,40 @@
 }
 
 #[test]
-fn team_beyond_its_limit_hears_when_to_come_back() {
+fn team_over_its_limit_is_told_how_long_to_wait() {
     let box_id: BoxId = "box-0".parse().unwrap();
-    let mut level = TokenBucket::new(0.0);
-    level.handle_report(0.0, LIMIT, ReserveNote::Low, 0, &box_id, word(0.0, 0.0)).unwrap();
-    let wanting = TeamReport { seq: 2, ..word(0.0, 800.0) };
-    let allowed = level.handle_report(1.0, LIMIT, ReserveNote::Low, 0, &box_id, wanting).unwrap();
-    assert!(allowed.amount >= 800.0 && allowed.wait == 0.0, "{allowed:?}");
-    let spent = TeamReport { seq: 3, ..word(allowed.amount + 2_000.0, 500.0) };
-    let allowed = level.handle_report(1.0, LIMIT, ReserveNote::Low, 0, &box_id, spent).unwrap();
-    assert_eq!(allowed.amount, 0.0);
-    assert!((1.4..2.6).contains(&allowed.wait), "{allowed:?}");
+    let mut bucket = TokenBucket::new(0.0);
+    bucket.handle_report(0.0, LIMIT, ReserveNote::Low, 0, &box_id, team_report(0.0, 0.0)).unwrap();
+    let wanting = TeamReport { seq: 2, ..team_report(0.0, 800.0) };
+    let grant = bucket.handle_report(1.0, LIMIT, ReserveNote::Low, 0, &box_id, wanting).unwrap();
+    assert!(grant.amount >= 800.0 && grant.wait == 0.0, "{grant:?}");
+    let spent = TeamReport { seq: 3, ..team_report(grant.amount + 2_000.0, 500.0) };
+    let grant = bucket.handle_report(1.0, LIMIT, ReserveNote::Low, 0, &box_id, spent).unwrap();
+    assert_eq!(grant.amount, 0.0);
+    assert!((1.4..2.6).contains(&grant.wait), "{grant:?}");
 }
 
 #[test]
-fn word_that_comes_late_or_twice_changes_nothing() {
+fn late_or_repeated_report_is_ignored() {
     let box_id: BoxId = "box-0".parse().unwrap();
-    let mut level = TokenBucket::new(0.0);
-    level
-        .handle_report(
-            0.0,
-            LIMIT,
-            ReserveNote::Low,
-            0,
-            &box_id,
-            TeamReport { seq: 4, ..word(100.0, 0.0) },
-        )
-        .unwrap();
-    assert_eq!(
-        level.handle_report(
-            1.0,
-            LIMIT,
-            ReserveNote::Low,
-            0,
-            &box_id,
-            TeamReport { seq: 4, ..word(100.0, 0.0) }
-        ),
-        None
-    );
-    assert_eq!(
-        level.handle_report(
-            1.0,
-            LIMIT,
-            ReserveNote::Low,
-            0,
-            &box_id,
-            TeamReport { seq: 3, ..word(0.0, 0.0) }
-        ),
-        None
-    );
+    let mut bucket = TokenBucket::new(0.0);
+    let mut handle = |now, seq, total| {
+        let report = TeamReport { seq, ..team_report(total, 0.0) };
+        bucket.handle_report(now, LIMIT, ReserveNote::Low, 0, &box_id, report)
+    };
+    handle(0.0, 4, 100.0).unwrap();
+    assert_eq!(handle(1.0, 4, 100.0), None);
+    assert_eq!(handle(1.0, 3, 0.0), None);
 }
 
 #[test]
-fn tolerance_is_used_but_never_passed() {
+fn enforced_limit_uses_the_tolerance_without_exceeding_it() {
     let tolerance = Tolerance { window: 8.0, overshoot: 0.1, slack: 500.0 };
     let limit = LIMIT.with_tolerance(tolerance);
-    let most = limit.rate * 8.0 + limit.burst;
+    let max_use = limit.rate * 8.0 + limit.burst;
     let bound = (LIMIT.rate * 8.0 + LIMIT.burst) * 1.1 + 500.0;
-    assert!(most > LIMIT.rate * 8.0 + LIMIT.burst);
-    assert!(most < bound);
+    assert!(max_use > LIMIT.rate * 8.0 + LIMIT.burst);
+    assert!(max_use < bound);
 }
 
 #[test]
@@ -128,12 +97,12 @@
         }
     }
     let bound = 0.2 * f64::from(requests * boxes) + 50.0;
-    assert!(f64::from(spent) <= bound, "{spent} repeats, {bound} allowed");
+    assert!(f64::from(spent) <= bound, "{spent} retries, {bound} permitted");
     assert!(spent > 0);
 }
 
 #[test]
-fn boxes_that_start_at_once_keep_the_retry_budget_before_any_leader_speaks() {
+fn boxes_started_together_keep_the_retry_budget_without_a_leader() {
     let service: ServiceName = "svc".parse().unwrap();
     let (boxes, floor) = (986, 1_040.0);
     let mut spent = 0;
@@ -145,16 +114,16 @@
         }
     }
     let bound = 0.2 * f64::from(boxes) + floor;
-    assert!(f64::from(spent) <= bound, "{spent} repeats, {bound} allowed");
+    assert!(f64::from(spent) <= bound, "{spent} retries, {bound} permitted");
 }
 
 #[test]
-fn box_gets_its_part_of_the_retry_floor_once_the_leader_tells_how_many_share_it() {
+fn box_gets_its_part_of_the_retry_floor_once() {
     let service: ServiceName = "svc".parse().unwrap();
     let mut budgets = RetryBudgets::default();
     let mut limit = RetryLimit { ratio: 0.0, floor: 100.0, boxes: None };
     let mut spent = 0;
-    // The part is 7, and a number that goes to and fro brings no more.
+    // A tenth of the floor, of which 0.7 is used, is 7. A box count that changes back and forth adds nothing.
     for boxes in [None, Some(10), Some(20), Some(10), Some(10)] {
         limit.boxes = boxes;
         budgets.deposit(&service, &limit);
@@ -166,7 +135,7 @@
 }
 
 #[test]
-fn usage_falls_into_the_window_of_its_time() {
+fn usage_is_counted_in_the_window_of_its_time() {
     let length = Duration::from_secs(5);
     let team: TeamName = "team-a".parse().unwrap();
     let mut counter = UsageCounter::new(length);
@@ -217,33 +186,33 @@
 }
 
 #[test]
-fn box_asks_at_once_when_a_team_runs_out_of_what_the_leader_may_have_more_of() {
+fn box_asks_the_leader_unless_the_limit_is_reached() {
     let team: TeamName = "team-a".parse().unwrap();
     let now = Instant::now();
     let mut allowances = Allowances::new();
     allowances.set_limited_teams([&team].into_iter(), now);
-    let mut word = |amount, wait| {
+    let mut claims_after_grant = |amount, wait| {
         let report = allowances.heartbeat_report(now);
-        let allowed = BTreeMap::from([(team.clone(), Grant { amount, rate: 0.0, wait })]);
-        allowances.apply_grants(&report, &allowed, now);
+        let grants = BTreeMap::from([(team.clone(), Grant { amount, rate: 0.0, wait })]);
+        allowances.apply_grants(&report, &grants, now);
         [100.0, 100.0]
             .map(|cost| allowances.claim(&team, cost, now).map_err(|short| short.ask_leader))
     };
-    assert_eq!(word(150.0, 0.0), [Ok(()), Err(true)]);
-    assert_eq!(word(500.0, 0.0), [Ok(()), Ok(())]);
-    // The leader has said that nothing is left.
-    assert_eq!(word(0.0, 1.5), [Err(false), Err(false)]);
+    assert_eq!(claims_after_grant(150.0, 0.0), [Ok(()), Err(true)]);
+    assert_eq!(claims_after_grant(500.0, 0.0), [Ok(()), Ok(())]);
+    // The leader has said that the limit is reached.
+    assert_eq!(claims_after_grant(0.0, 1.5), [Err(false), Err(false)]);
 }
 
 #[test]
-fn silent_leader_leaves_a_box_its_lease_and_no_more() {
+fn box_without_a_leader_uses_its_lease_and_no_more() {
     let team: TeamName = "team-a".parse().unwrap();
     let start = Instant::now();
     let mut allowances = Allowances::new();
     allowances.set_limited_teams([&team].into_iter(), start);
     let report = allowances.heartbeat_report(start);
-    let allowed = Grant { amount: 5_000.0, rate: 100.0, wait: 0.0 };
-    allowances.apply_grants(&report, &BTreeMap::from([(team.clone(), allowed)]), start);
+    let granted = Grant { amount: 5_000.0, rate: 100.0, wait: 0.0 };
+    allowances.apply_grants(&report, &BTreeMap::from([(team.clone(), granted)]), start);
     let mut used = 0.0;
     for step in 1..=600_u32 {
         let now = start + Duration::from_millis(1_000) + Duration::from_millis(50) * step;
@@ -253,98 +222,98 @@
                 Err(short) => break short,
             }
         };
-        // Nobody waits for a leader that does not answer.
+        // A request does not wait for a leader that does not answer.
         assert!(!short.ask_leader);
     }
-    // The amount, and the rate until the lease has ended.
+    // The amount, plus the rate until the lease has ended.
     assert!((5_560.0..=5_590.0).contains(&used), "{used}");
 }
 
-/// Reports a team to which 100 units are brought in each of the rounds, every 0.4 s, and to which nobody
-/// comes after them; the last round in which it is reported.
-fn last_reported(rounds: std::ops::RangeInclusive<u32>) -> u32 {
+/// Simulates a team that uses 100 units in each of `rounds`, 0.4 s apart, and none after them. Returns the last round
+/// in which the box reports the team.
+fn last_reported_round(rounds: std::ops::RangeInclusive<u32>) -> u32 {
     let (team, box_id): (TeamName, BoxId) = ("team-a".parse().unwrap(), "box-0".parse().unwrap());
     let start = Instant::now();
     let mut allowances = Allowances::new();
     allowances.set_limited_teams([&team].into_iter(), start);
-    let mut level = TokenBucket::new(0.0);
-    let (mut spoken, mut used) = (0, 0.0);
+    let mut bucket = TokenBucket::new(0.0);
+    let (mut last_round, mut used) = (0, 0.0);
     for round in 0..100_u32 {
         let seconds = 0.4 * f64::from(round);
         let now = start + Duration::from_secs_f64(seconds);
         let mut claim = || allowances.claim(&team, 100.0, now).is_ok();
-        // The first time too little is there; with the reply there is more.
+        // The first claim finds too little; the reply to the report that follows brings more.
         if rounds.contains(&round) && claim()
             || round > 0 && rounds.contains(&(round - 1)) && claim()
         {
             used += 100.0;
         }
-        let told = allowances.heartbeat_report(now);
-        spoken = if told.teams.is_empty() { spoken } else { round };
-        let word = told.teams.get(&team).map(|demand| TeamReport {
+        let message = allowances.heartbeat_report(now);
+        last_round = if message.teams.is_empty() { last_round } else { round };
+        let report = message.teams.get(&team).map(|demand| TeamReport {
             incarnation: Incarnation(1),
-            seq: told.seq,
+            seq: message.seq,
             demand: *demand,
         });
-        let allowed = word.map(|it| {
-            level.handle_report(seconds, LIMIT, ReserveNote::Low, 0, &box_id, it).unwrap()
+        let granted = report.map(|it| {
+            bucket.handle_report(seconds, LIMIT, ReserveNote::Low, 0, &box_id, it).unwrap()
         });
-        let allowed = allowed.map(|it| (team.clone(), it)).into_iter().collect();
-        allowances.apply_grants(&told, &allowed, now);
+        let grants = granted.map(|it| (team.clone(), it)).into_iter().collect();
+        allowances.apply_grants(&message, &grants, now);
     }
     assert!(used >= 100.0);
-    // All but what was used has come back.
-    let word = word(0.0, 900.0);
+    // All but the used units have been returned to the bucket.
+    let report = team_report(0.0, 900.0);
     let other: BoxId = "box-1".parse().unwrap();
-    let allowed = level.handle_report(40.0, LIMIT, ReserveNote::Low, 0, &other, word).unwrap();
-    assert!(allowed.amount >= 900.0, "{allowed:?}");
-    assert_eq!(level.available_and_leased().round(), LIMIT.burst);
-    spoken
+    let grant = bucket.handle_report(40.0, LIMIT, ReserveNote::Low, 0, &other, report).unwrap();
+    assert!(grant.amount >= 900.0, "{grant:?}");
+    assert_eq!(bucket.available_and_leased().round(), LIMIT.burst);
+    last_round
 }
 
 #[test]
-fn box_to_which_a_team_no_longer_comes_gives_all_back_and_says_no_more_of_it() {
-    // For a lease after the last request at least, and for 20 s at most.
-    let spoken = last_reported(2..=10);
-    assert!((25..60).contains(&spoken), "it spoke until round {spoken}");
+fn box_releases_all_units_of_a_team_that_stops_sending() {
+    // At least until the lease has ended after the last request, and at most 20 s.
+    let last_round = last_reported_round(2..=10);
+    assert!((25..60).contains(&last_round), "reported until round {last_round}");
 }
 
 #[test]
-fn box_to_which_a_team_comes_once_holds_nothing_for_it_beyond_two_heartbeats() {
-    let spoken = last_reported(10..=10);
-    assert!((11..=13).contains(&spoken), "it spoke until round {spoken}");
+fn box_holds_nothing_for_a_single_request_after_two_heartbeats() {
+    let last_round = last_reported_round(10..=10);
+    assert!((11..=13).contains(&last_round), "reported until round {last_round}");
 }
 
 #[test]
 fn level_stays_above_its_reserve_until_the_group_has_noted_that_it_may_not() {
     let box_id: BoxId = "box-0".parse().unwrap();
-    let mut level = TokenBucket::new(0.0);
-    let mut allowed = |noted, turn, total, wanted| {
-        let word = TeamReport { seq: turn, ..word(total, wanted) };
-        let allowed = level.handle_report(0.0, LIMIT, noted, 0, &box_id, word).unwrap();
-        (allowed.amount, level.needs_low_note())
+    let mut bucket = TokenBucket::new(0.0);
+    let mut handle = |note, seq, total, wanted| {
+        let report = TeamReport { seq, ..team_report(total, wanted) };
+        let grant = bucket.handle_report(0.0, LIMIT, note, 0, &box_id, report).unwrap();
+        (grant.amount, bucket.needs_low_note())
     };
-    // A former leader's reserve, and nothing on top of it yet.
-    assert_eq!(allowed(ReserveNote::Intact, 1, 0.0, 900.0), (0.0, true));
-    let (amount, lacking) = allowed(ReserveNote::Low, 2, 0.0, 300.0);
-    assert!(amount >= 300.0 && !lacking, "{amount}");
+    // The bucket holds the former leader's reserve and nothing beyond it yet.
+    assert_eq!(handle(ReserveNote::Intact, 1, 0.0, 900.0), (0.0, true));
+    let (amount, needs_low_note) = handle(ReserveNote::Low, 2, 0.0, 300.0);
+    assert!(amount >= 300.0 && !needs_low_note, "{amount}");
 }
 
 #[test]
-fn new_leader_begins_with_nothing_for_a_team_that_was_low() {
+fn new_leader_starts_with_an_empty_bucket_for_a_low_team() {
     let box_id: BoxId = "box-0".parse().unwrap();
-    let mut level = TokenBucket::new(0.0);
-    for (turn, noted) in [(1, ReserveNote::Unknown), (2, ReserveNote::Low), (3, ReserveNote::Low)] {
-        let word = TeamReport { seq: turn, ..word(0.0, 100.0) };
-        let allowed = level.handle_report(0.0, LIMIT, noted, 0, &box_id, word).unwrap();
-        assert_eq!(allowed.amount, 0.0);
-        // While the group's note is on its way nobody is told that the team is over its limit.
-        assert_eq!(allowed.wait == 0.0, noted == ReserveNote::Unknown);
+    let mut bucket = TokenBucket::new(0.0);
+    for (seq, note) in [(1, ReserveNote::Unknown), (2, ReserveNote::Low), (3, ReserveNote::Low)] {
+        let report = TeamReport { seq, ..team_report(0.0, 100.0) };
+        let grant = bucket.handle_report(0.0, LIMIT, note, 0, &box_id, report).unwrap();
+        assert_eq!(grant.amount, 0.0);
+        // No box is told that the team is over its limit before the group's note is known.
+        assert_eq!(grant.wait == 0.0, note == ReserveNote::Unknown);
     }
 }
 
 #[test]
-fn group_keeps_its_note_of_low_teams() {
+fn group_stores_the_note_of_low_teams() {
     let mut machine = Machine::default();
     let teams: std::collections::BTreeSet<TeamName> = ["team-a".parse().unwrap()].into();
     assert_eq!(machine.apply(1, &Command::ReadNotes), Reply::Notes(Notes::default()));
@@ -353,51 +322,51 @@
     assert_eq!(machine.apply(3, &Command::ReadNotes), Reply::Notes(kept));
 }
 
-/// A level with one box, which has all of the rate on lease that a box may have, reported last at 1 s.
-fn level_with_a_lease() -> (TokenBucket, f64) {
+/// A bucket with one box, which has the largest possible rate on lease and last reported at 1 s; and that rate.
+fn bucket_with_a_lease() -> (TokenBucket, f64) {
     let box_id: BoxId = "box-0".parse().unwrap();
-    let mut level = TokenBucket::new(0.0);
+    let mut bucket = TokenBucket::new(0.0);
     let mut rate = 0.0;
-    for (turn, at) in [(1, 0.0), (2, 0.5), (3, 1.0)] {
-        let mut word = TeamReport { seq: turn, ..word(0.0, 0.0) };
-        word.demand.demand_rate = 2_000.0;
-        rate = level.handle_report(at, LIMIT, ReserveNote::Low, 0, &box_id, word).unwrap().rate;
+    for (seq, at) in [(1, 0.0), (2, 0.5), (3, 1.0)] {
+        let mut report = TeamReport { seq, ..team_report(0.0, 0.0) };
+        report.demand.demand_rate = 2_000.0;
+        rate = bucket.handle_report(at, LIMIT, ReserveNote::Low, 0, &box_id, report).unwrap().rate;
     }
     assert!(rate >= 0.8 * LIMIT.rate, "{rate}");
-    (level, rate)
+    (bucket, rate)
 }
 
 #[test]
 fn lease_that_grows_while_nobody_reports_is_no_room_for_more() {
-    // The box may use all of its lease at its end; what comes in meanwhile stands against that.
-    let (mut level, rate) = level_with_a_lease();
+    // The box may use all that its rate brings until the lease ends, so the bucket must not refill beyond the rest.
+    let (mut bucket, rate) = bucket_with_a_lease();
     let other: BoxId = "box-1".parse().unwrap();
-    let word = TeamReport { seq: 1, ..word(0.0, 0.0) };
-    level.handle_report(7.5, LIMIT, ReserveNote::Low, 0, &other, word).unwrap();
-    let held = 5.9 * rate;
-    let most = LIMIT.burst - held + 0.7 * LIMIT.rate;
+    let report = TeamReport { seq: 1, ..team_report(0.0, 0.0) };
+    bucket.handle_report(7.5, LIMIT, ReserveNote::Low, 0, &other, report).unwrap();
+    let leased = 5.9 * rate;
+    let most = LIMIT.burst - leased + 0.7 * LIMIT.rate;
     assert!(
-        level.available_and_leased() <= most,
+        bucket.available_and_leased() <= most,
         "{} left, {most} at most",
-        level.available_and_leased()
+        bucket.available_and_leased()
     );
 }
 
 #[test]
 fn reserve_that_boxes_eat_into_without_a_report_is_noted_as_low() {
-    let (mut level, _) = level_with_a_lease();
-    let mut lacking = Vec::new();
+    let (mut bucket, _) = bucket_with_a_lease();
+    let mut needs_note = Vec::new();
     for step in 0..40 {
         let now = 1.0 + 0.1 * f64::from(step);
-        level.tick(now, LIMIT, ReserveNote::Intact, 0);
-        lacking.push(level.needs_low_note());
-        assert!(level.available() >= 0.4 * LIMIT.burst || level.needs_low_note(), "{now}");
+        bucket.tick(now, LIMIT, ReserveNote::Intact, 0);
+        needs_note.push(bucket.needs_low_note());
+        assert!(bucket.available() >= 0.4 * LIMIT.burst || bucket.needs_low_note(), "{now}");
     }
-    assert!(lacking.contains(&true));
-    assert!(!level.has_recovered(5.0, LIMIT));
+    assert!(needs_note.contains(&true));
+    assert!(!bucket.has_recovered(5.0, LIMIT));
 }
 
-/// The allowances of a box that knows one team, and the team.
+/// The allowances of a box with one limited team; and that team, and the time.
 fn allowances() -> (Allowances, TeamName, Instant) {
     let (team, now): (TeamName, _) = ("team-a".parse().unwrap(), Instant::now());
     let mut allowances = Allowances::new();
@@ -405,53 +374,53 @@
     (allowances, team, now)
 }
 
-fn grant(team: &TeamName, amount: f64) -> BTreeMap<TeamName, Grant> {
+fn grants(team: &TeamName, amount: f64) -> BTreeMap<TeamName, Grant> {
     BTreeMap::from([(team.clone(), Grant { amount, rate: 0.0, wait: 0.0 })])
 }
 
 #[test]
-fn waiting_team_is_asked_for_at_once_and_heartbeats_tell_only_what_it_holds_until_the_reply() {
+fn demand_is_sent_at_once_and_heartbeats_report_only_holdings_until_the_reply() {
     let (mut allowances, team, now) = allowances();
     assert!(allowances.next_demand(now).is_none());
     allowances.claim(&team, 100.0, now).unwrap_err();
     let demand = allowances.next_demand(now).unwrap();
     assert_eq!(demand.teams[&team].wanted, 100.0);
-    // One demand of a team is under way; a heartbeat would withdraw what it asks for.
+    // The demand is unanswered; a full report in a heartbeat would withdraw what it asks for.
     assert!(allowances.is_pending(&team) && allowances.next_demand(now).is_none());
-    let held = allowances.heartbeat_report(now);
-    assert!(held.teams[&team].has_pending_demand());
-    // A leader that hears it first answers nothing, and still the demand behind it.
-    let (mut level, box_id) = (TokenBucket::new(0.0), "box-1".parse().unwrap());
+    let holdings = allowances.heartbeat_report(now);
+    assert!(holdings.teams[&team].has_pending_demand());
+    // A leader that receives the heartbeat first grants nothing for it, and still answers the demand.
+    let (mut bucket, box_id) = (TokenBucket::new(0.0), "box-1".parse().unwrap());
     let mut answer = |report: &DemandReport| {
-        let (life, turn, demand) = (Incarnation(1), report.seq, report.teams[&team]);
-        let report = TeamReport { incarnation: life, seq: turn, demand };
-        level.handle_report(1.0, LIMIT, ReserveNote::Intact, 0, &box_id, report)
+        let (incarnation, seq, demand) = (Incarnation(1), report.seq, report.teams[&team]);
+        let report = TeamReport { incarnation, seq, demand };
+        bucket.handle_report(1.0, LIMIT, ReserveNote::Intact, 0, &box_id, report)
     };
-    assert_eq!(answer(&held), None);
+    assert_eq!(answer(&holdings), None);
     assert!(answer(&demand).unwrap().amount >= 100.0);
-    allowances.apply_grants(&demand, &grant(&team, 100.0), now);
+    allowances.apply_grants(&demand, &grants(&team, 100.0), now);
     assert!(!allowances.is_pending(&team));
     allowances.claim(&team, 100.0, now).unwrap();
     assert!(allowances.heartbeat_report(now).teams.contains_key(&team));
 }
 
 #[test]
-fn reply_to_a_report_that_a_later_one_has_overtaken_grants_nothing() {
+fn reply_to_an_outdated_report_grants_nothing() {
     let (mut allowances, team, now) = allowances();
     allowances.claim(&team, 100.0, now).unwrap_err();
     let heartbeat = allowances.heartbeat_report(now);
     allowances.claim(&team, 100.0, now).unwrap_err();
     let demand = allowances.next_demand(now).unwrap();
-    allowances.apply_grants(&heartbeat, &grant(&team, 900.0), now);
+    allowances.apply_grants(&heartbeat, &grants(&team, 900.0), now);
     allowances.claim(&team, 100.0, now).unwrap_err();
-    allowances.apply_grants(&demand, &grant(&team, 150.0), now);
-    // The grant is of the later report alone.
+    allowances.apply_grants(&demand, &grants(&team, 150.0), now);
+    // Only the reply to the later report counts.
     allowances.claim(&team, 100.0, now).unwrap();
     allowances.claim(&team, 100.0, now).unwrap_err();
 }
 
 #[test]
-fn demand_without_a_reply_is_no_reason_to_wait_and_is_made_again() {
+fn unanswered_demand_is_not_waited_for_and_is_sent_again() {
     let (mut allowances, team, now) = allowances();
     allowances.claim(&team, 100.0, now).unwrap_err();
     let lost = allowances.next_demand(now).unwrap();
@@ -461,12 +430,12 @@
     assert!(allowances.claim(&team, 100.0, later).unwrap_err().ask_leader);
     let again = allowances.next_demand(later).unwrap();
     assert!(again.seq > lost.seq);
-    allowances.apply_grants(&again, &grant(&team, 300.0), later);
+    allowances.apply_grants(&again, &grants(&team, 300.0), later);
     allowances.claim(&team, 300.0, later).unwrap();
 }
 
 #[test]
-fn refusal_says_whether_the_limit_is_certainly_reached() {
+fn refusal_says_whether_the_limit_is_known_to_be_reached() {
     let (mut allowances, team, now) = allowances();
     let short = allowances.claim(&team, 100.0, now).unwrap_err();
     assert!(!short.exhausted && !short.known);
@@ -478,8 +447,8 @@
 }
 
 #[test]
-fn demands_of_neighbouring_releases_are_understood() {
-    // One more field than is known here, and one fewer.
+fn demands_of_other_releases_are_parsed() {
+    // One message has an unknown field, the other lacks known ones.
     let text = r#"{"version":9,"box_id":"box-1","life":7,"turn":3,"teams":{},"hue":"blue"}"#;
     let request: DemandRequest = serde_json::from_str(text).unwrap();
     assert_eq!((request.version, request.turn), (9, 3));
@@ -490,7 +459,7 @@
     assert!(reply.grants.is_empty());
 }
 
-/// A leader that begins at `now` and hears these boxes.
+/// The presence at a leader that starts at `now` and hears these boxes.
 fn presence(boxes: &[&str], now: Instant) -> Presence {
     let mut presence = Presence::new(now);
     for name in boxes {
@@ -500,10 +469,10 @@
 }
 
 #[test]
-fn new_leader_that_hears_only_a_box_that_has_just_started_knows_of_the_others_by_the_note() {
+fn new_leader_counts_unheard_boxes_by_the_note() {
     let now = Instant::now();
     let mut leader = presence(&["box-1"], now);
-    // Such a box was told nothing by the former leader.
+    // A box that has just started heard nothing from the former leader.
     leader.learn(&"box-1".parse().unwrap(), None);
     assert_eq!(leader.unheard(), 1, "before the note is known");
     leader.restore(4);
@@ -512,7 +481,7 @@
 }
 
 #[test]
-fn more_boxes_are_noted_at_once_and_fewer_only_once_their_leases_have_ended() {
+fn higher_box_count_is_noted_at_once_and_lower_one_after_the_leases() {
     let now = Instant::now();
     let mut leader = presence(&["box-1", "box-2", "box-3"], now);
     assert_eq!(leader.next_note(now), None, "before the note is known");
@@ -528,20 +497,20 @@
 }
 
 #[test]
-fn boxes_that_have_all_started_anew_hold_nothing_that_a_leader_must_wait_for() {
+fn leader_does_not_wait_for_leases_of_restarted_boxes() {
     let now = Instant::now();
     let mut leader = presence(&["box-1"], now);
     leader.restore(4);
     leader.learn(&"box-1".parse().unwrap(), None);
     assert_eq!(leader.unheard(), 3);
-    // Its next demands before its first heartbeat, and its next life, are no other box.
+    // Further demands before its first heartbeat, and its next incarnation, do not count as another box.
     leader.learn(&"box-1".parse().unwrap(), None);
     leader.learn(&"box-1".parse().unwrap(), None);
     assert_eq!(leader.unheard(), 3);
     leader.record(&"box-2".parse().unwrap(), now);
     leader.learn(&"box-2".parse().unwrap(), None);
     assert_eq!(leader.unheard(), 0);
-    // One that a former leader had told something shows that not all have.
+    // A box that heard a former leader shows that not all boxes have restarted.
     leader.record(&"box-3".parse().unwrap(), now);
     leader.learn(&"box-3".parse().unwrap(), Some(4));
     assert_eq!(leader.unheard(), 1);
--- a/tests/server_limits.rs
+++ b/tests/server_limits.rs
@@ -1,5 +1,5 @@
-//! A backend server that names the requests a second that it takes from all boxes together: real processes, five
-//! replicas and three relays.
+//! A backend server that announces how many requests a second it accepts from all boxes together. Runs real processes:
+//! five replicas and three relays.
 
 #[path = "support/platform.rs"]
 #[allow(dead_code, reason = "each test takes what it needs")]
@@ -13,19 +13,19 @@
 use platform::{Act, Reply, StandIn, document, usual_routes};
 use system::System;
 
-/// The boxes that callers ask.
+/// The boxes that receive requests.
 const BOXES: [u8; 3] = [11, 12, 13];
 
-/// The limit that a server names, in requests a second.
+/// The limit that the server announces, in requests a second.
 const LIMIT: f64 = 1.0;
 
 /// The window in which arrivals are counted, in seconds.
 const WINDOW: f64 = 4.0;
 
-/// What the users allow in a window: one and a half times the limit, and five requests.
-const ALLOWED: f64 = 1.5 * LIMIT * WINDOW + 5.0;
+/// The requests that the users permit in a window: one and a half times the limit, plus five.
+const PERMITTED: f64 = 1.5 * LIMIT * WINDOW + 5.0;
 
-/// Starts the boxes with these servers.
+/// Starts the boxes and lists these servers.
 async fn start(servers: &[&StandIn]) -> System {
     let system = System::start(BOXES.len() as u8).await;
     for server in servers {
@@ -38,8 +38,8 @@
     system
 }
 
-/// Asks the boxes in turn; the answers.
-async fn ask(system: &System, count: usize) -> Vec<Reply> {
+/// Sends requests to the boxes in turn and returns the replies.
+async fn send(system: &System, count: usize) -> Vec<Reply> {
     let mut replies = Vec::new();
     for place in BOXES.iter().cycle().take(count) {
         replies.extend(system.ask(*place, "POST", "safe").await);
@@ -47,58 +47,58 @@
     replies
 }
 
-/// The most requests that reached a server in one window.
-fn most_in_window(server: &StandIn) -> usize {
+/// The highest number of requests that reached a server in one window.
+fn max_in_window(server: &StandIn) -> usize {
     let arrived: Vec<_> = server.seen().iter().map(|seen| seen.at).collect();
     let window = Duration::from_secs_f64(WINDOW);
     let in_window = |from: &usize| {
-        let behind = arrived[*from..].iter();
-        behind.take_while(|at| **at < arrived[*from] + window).count()
+        let later = arrived[*from..].iter();
+        later.take_while(|at| **at < arrived[*from] + window).count()
     };
     (0..arrived.len()).map(|from| in_window(&from)).max().unwrap_or(0)
 }
 
-fn assert_kept(server: &StandIn) {
-    let most = most_in_window(server);
-    assert!(most as f64 <= ALLOWED, "{most} requests in {WINDOW} s for {ALLOWED} allowed");
+fn assert_within_limit(server: &StandIn) {
+    let highest = max_in_window(server);
+    assert!(highest as f64 <= PERMITTED, "{highest} requests in {WINDOW} s, {PERMITTED} permitted");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn boxes_together_send_a_server_no_more_than_it_names_and_others_take_the_work() {
+async fn boxes_keep_the_limit_of_a_server_and_use_other_servers() {
     let limited = StandIn::start("i-limited", &[Act::Naming("1")]).await;
     let other = StandIn::start("i-other", &[Act::Answer]).await;
     let system = start(&[&limited, &other]).await;
-    let replies = ask(&system, 300).await;
+    let replies = send(&system, 300).await;
     assert!(replies.iter().all(|reply| reply.status == 200), "{replies:?}");
     assert!(!limited.seen().is_empty());
-    assert_kept(&limited);
+    assert_within_limit(&limited);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn limit_is_kept_while_the_leader_is_killed_and_boxes_restart() {
+async fn limit_holds_while_the_leader_is_killed_and_a_box_restarts() {
     let limited = StandIn::start("i-limited", &[Act::Naming("1")]).await;
     let other = StandIn::start("i-other", &[Act::Answer]).await;
     let mut system = start(&[&limited, &other]).await;
-    ask(&system, 60).await;
+    send(&system, 60).await;
     let leader = system.leader().await;
     system.kill(leader).await;
-    ask(&system, 60).await;
+    send(&system, 60).await;
     system.kill(BOXES[0]).await;
     system.launch(BOXES[0], "relay").await;
     system.wait_status(BOXES[0], "safe", 200).await;
-    let replies = ask(&system, 180).await;
+    let replies = send(&system, 180).await;
     assert!(replies.iter().all(|reply| reply.status == 200), "{replies:?}");
-    assert_kept(&limited);
+    assert_within_limit(&limited);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_no_server_takes_is_refused_as_not_run_and_the_limit_is_used() {
+async fn requests_over_the_limit_of_the_only_server_are_refused_as_not_run() {
     let limited = StandIn::start("i-limited", &[Act::Naming("20")]).await;
     let system = start(&[&limited]).await;
     let is_refused = |reply: &&Reply| reply.status == 503;
     let refused = system
-        .until("some are served and some refused", || async {
-            let replies = ask(&system, 30).await;
+        .until("some requests are served and some refused", || async {
+            let replies = send(&system, 30).await;
             let refused = replies.iter().filter(is_refused).count();
             assert!(replies.iter().all(|it| [200, 503].contains(&it.status)), "{replies:?}");
             let all_wait = replies.iter().filter(is_refused).all(|reply| {
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn limit_ends_at_all_boxes_once_the_server_names_none() {
+async fn limit_ends_at_all_boxes_once_the_server_announces_none() {
     let mut acts = vec![Act::Naming("5"); 8];
     acts.push(Act::Answer);
     let mut limited = StandIn::start("i-limited", &acts).await;
@@ -122,8 +122,8 @@
         system.wait_status(place, "safe", 200).await;
     }
     system
-        .until("every box is served again", || async {
-            let replies = ask(&system, 30).await;
+        .until("all requests are served again", || async {
+            let replies = send(&system, 30).await;
             (replies.iter().all(|reply| reply.status == 200)).then_some(())
         })
         .await;
--- a/tests/server_pauses.rs
+++ b/tests/server_pauses.rs
@@ -1,4 +1,4 @@
-//! A backend server that turns requests away and asks a box for a pause.
+//! Backend servers that refuse requests and ask a box for a pause.
 
 #[path = "support/platform.rs"]
 #[allow(dead_code, reason = "each test takes what it needs")]
@@ -11,30 +11,30 @@
 use platform::{Act, StandIn, TestRelay};
 use yare::parameterized;
 
-/// Requests of one box that may reach a server in a pause that it asked for.
-const ALLOWED: usize = 2;
+/// The requests of one box that may still reach a server during the pause that it asked for.
+const PERMITTED: usize = 2;
 
-/// A pause that outlasts each test, in seconds.
-const LONG: &str = "600";
+/// A pause longer than any test, in seconds.
+const LONG_PAUSE: &str = "600";
 
 #[tokio::test]
-async fn server_that_asked_for_a_pause_gets_nothing_until_its_end() {
-    let resting = StandIn::start("i-resting", &[Act::Pause(LONG)]).await;
+async fn server_gets_no_requests_during_its_pause() {
+    let resting = StandIn::start("i-resting", &[Act::Pause(LONG_PAUSE)]).await;
     let other = StandIn::start("i-other", &[Act::Answer]).await;
     let relay = TestRelay::start(&[&resting, &other]).await;
     let mut replies = Vec::new();
     for _ in 0..40 {
         replies.push(relay.ask("POST", "safe").await);
     }
-    // The first one asked for the pause.
+    // The answer to the first request asked for the pause.
     let reached = resting.seen().len().saturating_sub(1);
-    assert!(reached <= ALLOWED, "{reached} requests in the pause, {ALLOWED} allowed");
+    assert!(reached <= PERMITTED, "{reached} requests during the pause, {PERMITTED} permitted");
     assert!(replies.iter().all(|reply| reply.status == 200), "{replies:?}");
 }
 
 #[tokio::test]
-async fn what_no_server_takes_in_its_pause_is_refused_at_once() {
-    let resting = StandIn::start("i-resting", &[Act::Pause(LONG)]).await;
+async fn requests_are_refused_at_once_while_all_servers_pause() {
+    let resting = StandIn::start("i-resting", &[Act::Pause(LONG_PAUSE)]).await;
     let relay = TestRelay::start(&[&resting]).await;
     for _ in 0..10 {
         let reply = relay.ask("POST", "safe").await;
@@ -46,8 +46,8 @@
 }
 
 #[tokio::test]
-async fn pause_outlasts_a_list_without_the_server() {
-    let resting = StandIn::start("i-resting", &[Act::Pause(LONG)]).await;
+async fn pause_is_kept_while_the_server_is_not_listed() {
+    let resting = StandIn::start("i-resting", &[Act::Pause(LONG_PAUSE)]).await;
     let other = StandIn::start("i-other", &[Act::Answer]).await;
     let relay = TestRelay::start(&[&resting]).await;
     relay.ask("POST", "safe").await;
@@ -59,14 +59,14 @@
     assert_eq!(resting.seen().len(), 1);
 }
 
-/// Words that are no number of seconds ask for nothing; the server is tried again.
+/// A value that is not a number of seconds asks for no pause, and the server gets further requests.
 #[parameterized(
     word = { "soon" },
     date = { "Thu, 03 Dec 2026 11:00:00 GMT" },
     negative = { "-3" },
     empty = { "" },
 )]
-fn pause_that_cannot_be_read_is_none(text: &'static str) {
+fn pause_that_cannot_be_parsed_is_ignored(text: &'static str) {
     let runtime = tokio::runtime::Runtime::new().unwrap();
     runtime.block_on(async {
         let resting = StandIn::start("i-resting", &[Act::Pause(text), Act::Answer]).await;
@@ -76,7 +76,8 @@
     });
 }
 
-/// Pauses in seconds, asked for one after the other at the same moment, and what is left of them.
+/// `asked`: pauses in seconds that a server asks for at the same moment, in this order. `left`: seconds until the server
+/// gets requests again.
 #[parameterized(
     one = { &[3.0], 3.0 },
     shorter = { &[3.0, 1.0], 3.0 },
@@ -84,7 +85,7 @@
     none = { &[0.0], 0.0 },
     endless = { &[1e300], 3_600.0 },
 )]
-fn longest_pause_counts(asked: &[f64], left: f64) {
+fn longest_pause_applies(asked: &[f64], left: f64) {
     let (mut pauses, now) = (Pauses::default(), Instant::now());
     let server = ServerKey { id: "i-1".parse().unwrap(), life: Incarnation(7) };
     let service: ServiceName = "svc".parse().unwrap();
--- a/tests/team_limit.rs
+++ b/tests/team_limit.rs
@@ -1,5 +1,5 @@
-//! A team's limit over all boxes, under cuts, restarts, changes of leader and lost answers: boxes and
-//! leader run the product's own code, driven by one seed.
+//! Simulates a team's rate limit over all boxes with network partitions, restarts, changes of leader and lost replies.
+//! Boxes and leader run the production code; each run is determined by its seed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -12,303 +12,317 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
+/// The step of the simulation, in seconds as all times here.
 const STEP: f64 = 0.02;
-const BEAT: f64 = 0.4;
-const LOOK: f64 = 0.1;
-const ASK: f64 = 0.15;
-/// When a box gives up on a demand without an answer.
-const GIVE_UP: f64 = 0.4;
-const SIZES: [f64; 3] = [200.0, 2_400.0, 12_000.0];
+const HEARTBEAT_INTERVAL: f64 = 0.4;
+/// The time between two checks of the bucket by the leader.
+const TICK_INTERVAL: f64 = 0.1;
+/// The time that the group takes to store a note.
+const NOTE_TIME: f64 = 0.04;
+/// How long a request waits for a demand to be answered.
+const MAX_WAIT: f64 = 0.15;
+/// How long a box waits for the answer to a demand.
+const DEMAND_TIMEOUT: f64 = 0.4;
+/// The costs of requests, in units.
+const COSTS: [f64; 3] = [200.0, 2_400.0, 12_000.0];
+/// The window in which the limit is checked.
 const WINDOW: f64 = 8.0;
 
-/// One way a day can go.
+/// The parameters of one simulation.
 #[derive(Debug, Clone)]
-struct Day {
+struct Scenario {
     boxes: usize,
-    /// How many of them callers come to.
+    /// The number of boxes that receive requests.
     busy: usize,
     limit: RateLimit,
     slack: f64,
-    /// What callers ask for, as a multiple of the limit's rate.
+    /// The demand of callers, as a multiple of the limit's rate.
     demand: f64,
-    /// Seconds of silence of all callers between as many seconds of demand; 0: none.
+    /// Callers alternate between this many seconds of demand and as many without; 0: demand without pauses.
     pause: f64,
-    /// How much of it goes to the first half of the boxes.
+    /// The part of the demand that goes to the first half of the busy boxes.
     skew: f64,
-    /// Chances, for each second: that a box is cut off or restarts, that the leader changes.
-    cut: f64,
+    /// Probabilities for each second: that a box is cut off, that a box restarts, that the leader changes.
+    partition: f64,
     restart: f64,
-    change: f64,
-    /// Chance that an answer is lost.
-    lost: f64,
-    /// The longest that one takes, in seconds.
-    flight: f64,
+    leader_change: f64,
+    /// The probability that a reply is lost.
+    loss: f64,
+    /// The longest delay of a reply.
+    max_delay: f64,
 }
 
-/// The reply to a report at its arrival, or its loss as the box finds out.
-struct Answer {
+/// A reply on its way to a box, or the timeout of a lost one.
+struct PendingReply {
     at: f64,
     report: DemandReport,
+    /// `None` if the reply is lost.
     grants: Option<BTreeMap<TeamName, Grant>>,
 }
 
-struct Entry {
+struct SimulatedBox {
     id: BoxId,
-    life: u64,
+    incarnation: u64,
     allowances: Allowances,
-    cut_until: f64,
-    next_beat: f64,
-    /// Requests that wait for the leader's word, each with the end of its wait.
+    cut_off_until: f64,
+    next_heartbeat: f64,
+    /// Requests that wait for the leader's reply: the cost and the end of the wait.
     waiting: Vec<(f64, f64)>,
-    answer: Option<Answer>,
-    demands: Vec<Answer>,
+    heartbeat: Option<PendingReply>,
+    demands: Vec<PendingReply>,
+    /// The number of boxes by the leader's last reply.
     relays: u32,
 }
 
-struct World {
-    day: Day,
+struct Simulation {
+    scenario: Scenario,
     rng: SmallRng,
     team: TeamName,
     base: Instant,
-    boxes: Vec<Entry>,
-    /// The leader's, from the first word that it hears.
-    level: Option<TokenBucket>,
-    /// What the group has noted, and from when on a note to come counts.
-    noted: ReserveNote,
-    notes: Option<f64>,
-    /// When the leader looked at the level last.
-    looked: f64,
-    /// From when there is a leader.
+    boxes: Vec<SimulatedBox>,
+    /// The leader's bucket, from the first report that it receives.
+    bucket: Option<TokenBucket>,
+    /// What the group has noted, and when the next note will be stored.
+    reserve_note: ReserveNote,
+    note_due: Option<f64>,
+    /// When the leader last checked the bucket.
+    ticked_at: f64,
+    /// The time from which on there is a leader.
     leads_from: f64,
     presence: Presence,
-    /// The lives of boxes that this leader has heard: what they were told counts once.
-    lives: BTreeSet<(usize, u64)>,
-    /// How many boxes the group has noted, and a number that it is to note from a moment on.
-    relays: u32,
-    relays_note: Option<(f64, u32)>,
-    uses: Vec<(f64, f64)>,
+    /// The boxes that this leader has heard, by place and incarnation. Only the first message of each tells what the
+    /// box knows from a former leader.
+    heard: BTreeSet<(usize, u64)>,
+    /// The number of boxes that the group has noted, and the next number with the time at which it will be stored.
+    noted_relays: u32,
+    relays_due: Option<(f64, u32)>,
+    /// The time and cost of each admitted request.
+    admitted: Vec<(f64, f64)>,
+    /// The cost of all refused requests.
     refused: f64,
 }
 
-impl World {
-    fn new(day: &Day, seed: u64) -> Self {
+impl Simulation {
+    fn new(scenario: &Scenario, seed: u64) -> Self {
         let base = Instant::now();
-        let boxes = (0..day.boxes).map(|place| Entry {
+        let boxes = (0..scenario.boxes).map(|place| SimulatedBox {
             id: format!("box-{place}").parse().unwrap(),
-            life: 1,
+            incarnation: 1,
             allowances: Allowances::new(),
-            cut_until: 0.0,
-            next_beat: 0.4 * place as f64 / day.boxes as f64,
+            cut_off_until: 0.0,
+            next_heartbeat: HEARTBEAT_INTERVAL * place as f64 / scenario.boxes as f64,
             waiting: Vec::new(),
-            answer: None,
+            heartbeat: None,
             demands: Vec::new(),
             relays: 0,
         });
-        let mut world = Self {
-            day: day.clone(),
+        let mut simulation = Self {
+            scenario: scenario.clone(),
             rng: SmallRng::seed_from_u64(seed),
             team: "team-a".parse().unwrap(),
             base,
             boxes: boxes.collect(),
-            level: None,
-            noted: ReserveNote::Intact,
-            notes: None,
-            looked: 0.0,
+            bucket: None,
+            reserve_note: ReserveNote::Intact,
+            note_due: None,
+            ticked_at: 0.0,
             leads_from: 0.0,
             presence: Presence::new(base),
-            lives: BTreeSet::new(),
-            relays: 0,
-            relays_note: None,
-            uses: Vec::new(),
+            heard: BTreeSet::new(),
+            noted_relays: 0,
+            relays_due: None,
+            admitted: Vec::new(),
             refused: 0.0,
         };
-        world.presence.restore(0);
-        let team = world.team.clone();
-        for entry in &mut world.boxes {
+        simulation.presence.restore(0);
+        let team = simulation.team.clone();
+        for entry in &mut simulation.boxes {
             entry.allowances.set_limited_teams([&team].into_iter(), base);
         }
-        world
+        simulation
     }
 
     fn instant(&self, now: f64) -> Instant {
         self.base + Duration::from_secs_f64(now)
     }
 
-    fn play(&mut self, from: f64, seconds: f64) {
+    fn run(&mut self, from: f64, seconds: f64) {
         let mut now = from;
         while now < from + seconds {
-            self.disturb(now);
+            self.inject_faults(now);
             for place in 0..self.boxes.len() {
-                self.hear(place, now);
-                self.ask(place, now);
-                self.demand(place, now);
-                self.beat(place, now);
+                self.receive_replies(place, now);
+                self.send_requests(place, now);
+                self.send_demand(place, now);
+                self.send_heartbeat(place, now);
             }
             now += STEP;
         }
     }
 
-    fn disturb(&mut self, now: f64) {
-        if self.rng.random_bool(self.day.change * STEP) {
+    /// Injects the faults of one step, and lets the leader check its bucket and the group store notes.
+    fn inject_faults(&mut self, now: f64) {
+        if self.rng.random_bool(self.scenario.leader_change * STEP) {
             let until = now + self.rng.random_range(0.1..1.5);
             self.lose_leader(until);
         }
-        self.look(now);
-        if self.notes.is_some_and(|at| at <= now) {
-            (self.noted, self.notes) = (ReserveNote::Low, None);
+        self.tick(now);
+        if self.note_due.is_some_and(|at| at <= now) {
+            (self.reserve_note, self.note_due) = (ReserveNote::Low, None);
         }
         let at = self.instant(now);
         for entry in &mut self.boxes {
-            if self.rng.random_bool(self.day.cut * STEP) {
-                entry.cut_until = now + self.rng.random_range(0.5..9.0);
+            if self.rng.random_bool(self.scenario.partition * STEP) {
+                entry.cut_off_until = now + self.rng.random_range(0.5..9.0);
             }
-            if self.rng.random_bool(self.day.restart * STEP) {
-                entry.life += 1;
+            if self.rng.random_bool(self.scenario.restart * STEP) {
+                entry.incarnation += 1;
                 entry.allowances = Allowances::new();
                 entry.allowances.set_limited_teams([&self.team].into_iter(), at);
-                entry.answer = None;
+                entry.heartbeat = None;
                 entry.demands.clear();
                 entry.relays = 0;
             }
         }
     }
 
-    /// The leader's look at the level, ten times a second.
-    fn look(&mut self, now: f64) {
-        let limit = kept(&self.day);
-        self.set_relays(now);
+    /// The leader's check of its bucket, ten times a second.
+    fn tick(&mut self, now: f64) {
+        let limit = enforced_limit(&self.scenario);
+        self.note_relays(now);
         let unheard = self.presence.unheard();
-        let Some(level) = self.level.as_mut().filter(|_| now >= self.looked + LOOK) else {
+        let Some(bucket) = self.bucket.as_mut().filter(|_| now >= self.ticked_at + TICK_INTERVAL)
+        else {
             return;
         };
-        self.looked = now;
-        level.tick(now, limit, self.noted, unheard);
-        if level.needs_low_note() && self.notes.is_none() {
-            self.notes = Some(now + 0.04);
+        self.ticked_at = now;
+        bucket.tick(now, limit, self.reserve_note, unheard);
+        if bucket.needs_low_note() && self.note_due.is_none() {
+            self.note_due = Some(now + NOTE_TIME);
         }
-        if level.has_recovered(now, limit) {
-            self.noted = ReserveNote::Intact;
+        if bucket.has_recovered(now, limit) {
+            self.reserve_note = ReserveNote::Intact;
         }
     }
 
-    /// The leader has the group note how many boxes there are, once it has read what was noted.
-    fn set_relays(&mut self, now: f64) {
+    /// Lets the group store the number of boxes.
+    fn note_relays(&mut self, now: f64) {
         let at = self.instant(now);
         if now < self.leads_from {
             return;
         }
-        if let Some((_, relays)) = self.relays_note.take_if(|(due, _)| *due <= now) {
-            self.relays = relays;
+        if let Some((_, relays)) = self.relays_due.take_if(|(due, _)| *due <= now) {
+            self.noted_relays = relays;
             self.presence.restore(relays);
         }
-        if self.relays_note.is_none() {
+        if self.relays_due.is_none() {
             let next = self.presence.next_note(at);
-            self.relays_note = next.map(|relays| (now + 0.04, relays));
+            self.relays_due = next.map(|relays| (now + NOTE_TIME, relays));
         }
     }
 
-    /// The leader is lost; the next one leads from `until` on.
+    /// Ends the current leader; the next one leads from `until` on.
     fn lose_leader(&mut self, until: f64) {
-        self.level = None;
-        self.notes = None;
+        self.bucket = None;
+        self.note_due = None;
         self.leads_from = until;
-        // What it asked the group to note may be lost with it. The next one reads the notes first.
-        self.relays_note = None;
-        self.lives.clear();
+        // A note that is not stored yet may be lost with the leader. The next one reads the notes first.
+        self.relays_due = None;
+        self.heard.clear();
         self.presence = Presence::new(self.instant(until));
-        self.presence.restore(self.relays);
+        self.presence.restore(self.noted_relays);
     }
 
-    /// Callers' requests at one box.
-    fn ask(&mut self, place: usize, now: f64) {
-        if place >= self.day.busy {
+    /// Sends the callers' requests of one step to a box, and retries those that wait.
+    fn send_requests(&mut self, place: usize, now: f64) {
+        if place >= self.scenario.busy {
             return;
         }
-        let count = self.day.busy as f64;
-        let first = place < self.day.busy.div_ceil(2);
-        let part = if first { self.day.skew } else { 1.0 - self.day.skew } * 2.0 / count;
-        let is_pause = self.day.pause > 0.0 && (now / self.day.pause) as u64 % 2 == 1;
-        let demand = if is_pause { 0.0 } else { self.day.demand };
-        let mut left = demand * self.day.limit.rate * part * STEP;
-        for (size, until) in std::mem::take(&mut self.boxes[place].waiting) {
-            self.admit(place, now, size, until);
+        let count = self.scenario.busy as f64;
+        let first = place < self.scenario.busy.div_ceil(2);
+        let part = if first { self.scenario.skew } else { 1.0 - self.scenario.skew } * 2.0 / count;
+        let is_pause = self.scenario.pause > 0.0 && (now / self.scenario.pause) as u64 % 2 == 1;
+        let demand = if is_pause { 0.0 } else { self.scenario.demand };
+        let mut left = demand * self.scenario.limit.rate * part * STEP;
+        for (cost, until) in std::mem::take(&mut self.boxes[place].waiting) {
+            self.admit(place, now, cost, until);
         }
         loop {
-            let size = SIZES[self.rng.random_range(0..SIZES.len())];
-            if left < size && !self.rng.random_bool((left / size).clamp(0.0, 1.0)) {
+            let cost = COSTS[self.rng.random_range(0..COSTS.len())];
+            if left < cost && !self.rng.random_bool((left / cost).clamp(0.0, 1.0)) {
                 return;
             }
-            left -= size;
-            self.admit(place, now, size, now + ASK);
+            left -= cost;
+            self.admit(place, now, cost, now + MAX_WAIT);
             if left <= 0.0 {
                 return;
             }
         }
     }
 
-    fn admit(&mut self, place: usize, now: f64, size: f64, until: f64) {
+    fn admit(&mut self, place: usize, now: f64, cost: f64, until: f64) {
         let at = self.instant(now);
         let entry = &mut self.boxes[place];
         if entry.allowances.is_pending(&self.team) && now < until {
-            entry.waiting.push((size, until));
+            entry.waiting.push((cost, until));
             return;
         }
-        match entry.allowances.claim(&self.team, size, at) {
-            Ok(()) => self.uses.push((now, size)),
-            Err(short) if short.ask_leader && now < until => entry.waiting.push((size, until)),
+        match entry.allowances.claim(&self.team, cost, at) {
+            Ok(()) => self.admitted.push((now, cost)),
+            Err(short) if short.ask_leader && now < until => entry.waiting.push((cost, until)),
             Err(_) => {
-                entry.allowances.record_refusal(&self.team, size);
-                self.refused += size;
+                entry.allowances.record_refusal(&self.team, cost);
+                self.refused += cost;
             }
         }
     }
 
-    fn hear(&mut self, place: usize, now: f64) {
+    fn receive_replies(&mut self, place: usize, now: f64) {
         let at = self.instant(now);
         let entry = &mut self.boxes[place];
         let mut due = Vec::new();
-        if entry.answer.as_ref().is_some_and(|answer| answer.at <= now) {
-            due.extend(entry.answer.take());
+        if entry.heartbeat.as_ref().is_some_and(|reply| reply.at <= now) {
+            due.extend(entry.heartbeat.take());
         }
-        due.extend(entry.demands.extract_if(.., |answer| answer.at <= now));
-        for answer in due {
-            match answer.grants {
-                Some(grants) => entry.allowances.apply_grants(&answer.report, &grants, at),
-                None => entry.allowances.clear_pending(&answer.report),
+        due.extend(entry.demands.extract_if(.., |reply| reply.at <= now));
+        for reply in due {
+            match reply.grants {
+                Some(grants) => entry.allowances.apply_grants(&reply.report, &grants, at),
+                None => entry.allowances.clear_pending(&reply.report),
             }
         }
     }
 
-    /// Whether a box reaches a leader.
+    /// Whether a box can reach a leader.
     fn reaches(&self, place: usize, now: f64) -> bool {
-        self.boxes[place].cut_until <= now && self.leads_from <= now
+        self.boxes[place].cut_off_until <= now && self.leads_from <= now
     }
 
-    /// A box's demand for the team alone, beside its beats.
-    fn demand(&mut self, place: usize, now: f64) {
+    /// Sends a box's demand for the team, if it has one.
+    fn send_demand(&mut self, place: usize, now: f64) {
         let at = self.instant(now);
         let Some(report) = self.boxes[place].allowances.next_demand(at) else {
             return;
         };
         if self.reaches(place, now) {
-            self.learn(place);
+            self.record_first_message(place);
         }
         let grants = self.reaches(place, now).then(|| self.grant(place, now, &report));
-        let flight = self.rng.random_range(0.0..self.day.flight);
-        let grants = grants.filter(|_| !self.rng.random_bool(self.day.lost));
-        let at = now + if grants.is_some() { flight } else { GIVE_UP };
-        self.boxes[place].demands.push(Answer { at, report, grants });
+        let delay = self.rng.random_range(0.0..self.scenario.max_delay);
+        let grants = grants.filter(|_| !self.rng.random_bool(self.scenario.loss));
+        let at = now + if grants.is_some() { delay } else { DEMAND_TIMEOUT };
+        self.boxes[place].demands.push(PendingReply { at, report, grants });
     }
 
-    /// Takes how many boxes a former leader told a box of, with its first message.
-    fn learn(&mut self, place: usize) {
+    /// Records what a box knows from a former leader, when its first message arrives.
+    fn record_first_message(&mut self, place: usize) {
         let entry = &self.boxes[place];
-        if self.lives.insert((place, entry.life)) {
+        if self.heard.insert((place, entry.incarnation)) {
             self.presence.learn(&entry.id, Some(entry.relays).filter(|relays| *relays > 0));
         }
     }
 
-    /// What the leader grants a box by its report.
+    /// The leader's grants for a box's report.
     fn grant(
         &mut self,
         place: usize,
@@ -316,48 +330,49 @@
         report: &DemandReport,
     ) -> BTreeMap<TeamName, Grant> {
         let entry = &self.boxes[place];
-        let (life, id, limit) = (Incarnation(entry.life), entry.id.clone(), kept(&self.day));
+        let (incarnation, id, limit) =
+            (Incarnation(entry.incarnation), entry.id.clone(), enforced_limit(&self.scenario));
         let unheard = self.presence.unheard();
-        let level = self.level.get_or_insert_with(|| TokenBucket::new(now));
+        let bucket = self.bucket.get_or_insert_with(|| TokenBucket::new(now));
         let demand = report.teams.get(&self.team).copied();
-        let told = demand.map(|demand| TeamReport { incarnation: life, seq: report.seq, demand });
-        let grant =
-            told.and_then(|it| level.handle_report(now, limit, self.noted, unheard, &id, it));
-        if level.needs_low_note() && self.notes.is_none() {
-            self.notes = Some(now + 0.04);
+        let told = demand.map(|demand| TeamReport { incarnation, seq: report.seq, demand });
+        let grant = told
+            .and_then(|it| bucket.handle_report(now, limit, self.reserve_note, unheard, &id, it));
+        if bucket.needs_low_note() && self.note_due.is_none() {
+            self.note_due = Some(now + NOTE_TIME);
         }
         grant.map(|it| (self.team.clone(), it)).into_iter().collect()
     }
 
-    fn beat(&mut self, place: usize, now: f64) {
+    fn send_heartbeat(&mut self, place: usize, now: f64) {
         let at = self.instant(now);
         let entry = &self.boxes[place];
-        if now < entry.next_beat || entry.answer.is_some() || !self.reaches(place, now) {
+        if now < entry.next_heartbeat || entry.heartbeat.is_some() || !self.reaches(place, now) {
             return;
         }
         let entry = &mut self.boxes[place];
-        entry.next_beat = now + BEAT;
+        entry.next_heartbeat = now + HEARTBEAT_INTERVAL;
         let report = entry.allowances.heartbeat_report(at);
         let id = entry.id.clone();
-        self.learn(place);
+        self.record_first_message(place);
         let grants = self.grant(place, now, &report);
         self.presence.record(&id, at);
         let relays = self.presence.relays(at);
         let entry = &mut self.boxes[place];
-        let flight = self.rng.random_range(0.0..self.day.flight);
-        if !self.rng.random_bool(self.day.lost) {
+        let delay = self.rng.random_range(0.0..self.scenario.max_delay);
+        if !self.rng.random_bool(self.scenario.loss) {
             entry.relays = relays;
-            entry.answer = Some(Answer { at: now + flight, report, grants: Some(grants) });
+            entry.heartbeat = Some(PendingReply { at: now + delay, report, grants: Some(grants) });
         }
     }
 
-    /// The most that was used in any window.
-    fn most(&self) -> f64 {
+    /// The highest use in any window.
+    fn max_use(&self) -> f64 {
         let (mut most, mut sum, mut first) = (0.0_f64, 0.0, 0);
-        for (at, size) in &self.uses {
-            sum += size;
-            while self.uses[first].0 < at - WINDOW {
-                sum -= self.uses[first].1;
+        for (at, cost) in &self.admitted {
+            sum += cost;
+            while self.admitted[first].0 < at - WINDOW {
+                sum -= self.admitted[first].1;
                 first += 1;
             }
             most = most.max(sum);
@@ -366,20 +381,20 @@
     }
 }
 
-fn tolerance(day: &Day) -> Tolerance {
-    Tolerance { window: WINDOW, overshoot: 0.1, slack: day.slack }
+fn tolerance(scenario: &Scenario) -> Tolerance {
+    Tolerance { window: WINDOW, overshoot: 0.1, slack: scenario.slack }
 }
 
-fn kept(day: &Day) -> RateLimit {
-    day.limit.with_tolerance(tolerance(day))
+fn enforced_limit(scenario: &Scenario) -> RateLimit {
+    scenario.limit.with_tolerance(tolerance(scenario))
 }
 
-fn bound(day: &Day) -> f64 {
-    (day.limit.rate * WINDOW + day.limit.burst) * 1.1 + day.slack
+fn bound(scenario: &Scenario) -> f64 {
+    (scenario.limit.rate * WINDOW + scenario.limit.burst) * 1.1 + scenario.slack
 }
 
-fn calm(boxes: usize, rate: f64, demand: f64) -> Day {
-    Day {
+fn without_faults(boxes: usize, rate: f64, demand: f64) -> Scenario {
+    Scenario {
         boxes,
         busy: boxes,
         limit: RateLimit { rate, burst: rate },
@@ -387,29 +402,39 @@
         demand,
         pause: 0.0,
         skew: 0.5,
-        cut: 0.0,
+        partition: 0.0,
         restart: 0.0,
-        change: 0.0,
-        lost: 0.0,
-        flight: 0.02,
+        leader_change: 0.0,
+        loss: 0.0,
+        max_delay: 0.02,
     }
 }
 
 prop_compose! {
-    fn days()(
+    fn scenarios()(
         boxes in 1_usize..40,
         idle in 0.0..0.9_f64,
         rate in 20_000.0..400_000.0_f64,
         demand in 0.5..12.0_f64,
         pause in prop_oneof![Just(0.0), 0.5..8.0_f64],
         skew in 0.3..1.0_f64,
-        cut in 0.0..0.2_f64,
+        partition in 0.0..0.2_f64,
         restart in 0.0..0.1_f64,
-        change in 0.0..0.15_f64,
-        lost in 0.0..0.3_f64,
-    ) -> Day {
+        leader_change in 0.0..0.15_f64,
+        loss in 0.0..0.3_f64,
+    ) -> Scenario {
         let busy = boxes - (boxes as f64 * idle) as usize;
-        Day { busy, pause, skew, cut, restart, change, lost, flight: 0.3, ..calm(boxes, rate, demand) }
+        Scenario {
+            busy,
+            pause,
+            skew,
+            partition,
+            restart,
+            leader_change,
+            loss,
+            max_delay: 0.3,
+            ..without_faults(boxes, rate, demand)
+        }
     }
 }
 
@@ -417,49 +442,48 @@
     #![proptest_config(ProptestConfig::with_cases(96))]
 
     #[test]
-    fn boxes_never_pass_the_limit_together(day in days(), seed in any::<u64>()) {
-        let mut world = World::new(&day, seed);
-        world.play(0.0, 40.0);
-        let (most, bound) = (world.most(), bound(&day));
-        prop_assert!(most <= bound, "{most} used in a window, {bound} allowed");
+    fn boxes_never_pass_the_limit_together(scenario in scenarios(), seed in any::<u64>()) {
+        let mut simulation = Simulation::new(&scenario, seed);
+        simulation.run(0.0, 40.0);
+        let (max_use, bound) = (simulation.max_use(), bound(&scenario));
+        prop_assert!(max_use <= bound, "{max_use} used in a window, {bound} permitted");
     }
 }
 
 #[test]
 fn hundreds_of_boxes_never_pass_the_limit_together() {
     for seed in 0..6 {
-        let day = Day {
+        let scenario = Scenario {
             busy: 40 + 52 * seed as usize,
-            cut: 0.1,
+            partition: 0.1,
             restart: 0.05,
-            change: 0.1,
-            lost: 0.1,
-            flight: 0.3,
-            ..calm(300, 120_000.0, 1.0 + seed as f64)
+            leader_change: 0.1,
+            loss: 0.1,
+            max_delay: 0.3,
+            ..without_faults(300, 120_000.0, 1.0 + seed as f64)
         };
-        let mut world = World::new(&day, seed);
-        world.play(0.0, 40.0);
-        let (most, bound) = (world.most(), bound(&day));
-        assert!(most <= bound, "{most} used in a window, {bound} allowed, seed {seed}");
+        let mut simulation = Simulation::new(&scenario, seed);
+        simulation.run(0.0, 40.0);
+        let (max_use, bound) = (simulation.max_use(), bound(&scenario));
+        assert!(max_use <= bound, "{max_use} used in a window, {bound} permitted, seed {seed}");
     }
 }
 
-/// What is refused of a team that uses half of its limit while no leader is there for 5 s, as a part of
-/// what is asked, over ten draws: BOUNDS. What is refused are long requests at boxes to which they
-/// come more seldom than leases last.
+/// Bounds the refused part of the requests of a team that uses half of its limit, while there is no leader for 5 s, over
+/// ten seeds. Refused are long requests at boxes that receive such requests less often than a lease lasts.
 #[test]
-fn team_goes_on_with_what_it_usually_sends_without_a_leader() {
+fn few_requests_of_a_team_within_its_limit_are_refused_without_a_leader() {
     for (boxes, busy, bound) in [(8, 8, 0.05), (76, 30, 0.3), (300, 13, 0.1), (300, 40, 0.3)] {
         let (mut used, mut refused) = (0.0, 0.0);
         for seed in 0..10 {
-            let day = Day { busy, ..calm(boxes, 230_000.0, 0.5) };
-            let mut world = World::new(&day, seed);
-            world.play(0.0, 15.0);
-            world.lose_leader(20.0);
-            (world.uses, world.refused) = (Vec::new(), 0.0);
-            world.play(15.0, 5.0);
-            used += world.uses.iter().map(|(_, size)| size).sum::<f64>();
-            refused += world.refused;
+            let scenario = Scenario { busy, ..without_faults(boxes, 230_000.0, 0.5) };
+            let mut simulation = Simulation::new(&scenario, seed);
+            simulation.run(0.0, 15.0);
+            simulation.lose_leader(20.0);
+            (simulation.admitted, simulation.refused) = (Vec::new(), 0.0);
+            simulation.run(15.0, 5.0);
+            used += simulation.admitted.iter().map(|(_, cost)| cost).sum::<f64>();
+            refused += simulation.refused;
         }
         let part = refused / (used + refused);
         assert!(part < bound, "{boxes} boxes, {busy} busy: {part} refused without a leader");
@@ -468,44 +492,48 @@
 
 #[test]
 fn cut_boxes_that_spend_on_are_within_the_limit() {
-    // A full window is spent in touch, then near half of the boxes are cut off for 8 s.
+    // The limit is used up for a full window before half of the boxes are cut off for 8 s.
     for demand in [3.0, 9.0] {
-        let day = calm(8, 230_000.0, demand);
-        let mut world = World::new(&day, 7);
-        world.play(0.0, 12.0);
-        for entry in &mut world.boxes[..4] {
-            entry.cut_until = 20.0;
+        let scenario = without_faults(8, 230_000.0, demand);
+        let mut simulation = Simulation::new(&scenario, 7);
+        simulation.run(0.0, 12.0);
+        for entry in &mut simulation.boxes[..4] {
+            entry.cut_off_until = 20.0;
         }
-        world.play(12.0, 12.0);
-        let (most, bound) = (world.most(), bound(&day));
-        assert!(most <= bound, "{most} used in a window, {bound} allowed");
+        simulation.run(12.0, 12.0);
+        let (max_use, bound) = (simulation.max_use(), bound(&scenario));
+        assert!(max_use <= bound, "{max_use} used in a window, {bound} permitted");
     }
 }
 
 #[test]
-fn team_within_its_limit_is_never_refused() {
+fn hardly_any_request_of_a_team_within_its_limit_is_refused() {
     for (boxes, rate) in
         [(8, 230_000.0), (8, 40_000.0), (76, 40_000.0), (76, 400_000.0), (300, 230_000.0)]
     {
-        let day = calm(boxes, rate, 0.6);
-        let mut world = World::new(&day, 3);
-        world.day.demand = 0.0;
-        world.play(0.0, 10.0);
-        world.day.demand = day.demand;
-        world.play(10.0, 30.0);
-        let used: f64 = world.uses.iter().map(|(_, size)| size).sum();
-        assert!(world.refused < 0.02 * used, "{boxes} boxes: {} refused of {used}", world.refused);
+        let scenario = without_faults(boxes, rate, 0.6);
+        let mut simulation = Simulation::new(&scenario, 3);
+        simulation.scenario.demand = 0.0;
+        simulation.run(0.0, 10.0);
+        simulation.scenario.demand = scenario.demand;
+        simulation.run(10.0, 30.0);
+        let used: f64 = simulation.admitted.iter().map(|(_, cost)| cost).sum();
+        assert!(
+            simulation.refused < 0.02 * used,
+            "{boxes} boxes: {} refused of {used}",
+            simulation.refused
+        );
     }
 }
 
 #[test]
-fn team_beyond_its_limit_gets_all_of_it() {
+fn team_over_its_limit_can_use_all_of_it() {
     for (boxes, rate) in [(8, 230_000.0), (76, 400_000.0), (8, 40_000.0), (300, 400_000.0)] {
-        let day = calm(boxes, rate, 6.0);
-        let mut world = World::new(&day, 5);
-        world.play(0.0, 30.0);
-        let used: f64 = world.uses.iter().map(|(_, size)| size).sum();
-        let owed = day.limit.rate * 30.0;
-        assert!(used > 0.95 * owed, "{boxes} boxes were held to {used} of {owed}");
+        let scenario = without_faults(boxes, rate, 6.0);
+        let mut simulation = Simulation::new(&scenario, 5);
+        simulation.run(0.0, 30.0);
+        let used: f64 = simulation.admitted.iter().map(|(_, cost)| cost).sum();
+        let expected = scenario.limit.rate * 30.0;
+        assert!(used > 0.95 * expected, "{boxes} boxes used only {used} of {expected}");
     }
 }
--- a/tests/telling.rs
+++ b/tests/telling.rs
@@ -1,4 +1,4 @@
-//! What a box tells the leader as news, while words and answers are lost and leaders change.
+//! The incremental reports of a box, with lost reports and answers and changes of leader.
 
 use std::collections::BTreeMap;
 
@@ -8,50 +8,50 @@
 use emberturn::state::notes::Models;
 use proptest::prelude::*;
 
-/// What happens between two words.
+/// One step of a simulation.
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    /// A request began to run in a window.
-    Ran(u64),
-    /// The engines have become faster by this part.
-    Learned(f64),
-    /// The word never arrives.
-    WordLost,
-    /// It arrives, and its answer does not.
+    /// A request starts to run in a window.
+    RequestStarted(u64),
+    /// The learned rate of the engines grows by this part.
+    RateLearned(f64),
+    /// A report is lost.
+    ReportLost,
+    /// A report arrives, and its answer is lost.
     AnswerLost,
-    /// It is held up, and arrives behind later ones, at whoever leads then.
-    Overtaken,
-    /// Another leader, that has heard nothing, or the same one that has forgotten the box.
-    Forgotten,
-    /// A word and its answer arrive.
-    Told,
+    /// A report is delayed and arrives after later ones, at whoever leads then.
+    ReportDelayed,
+    /// The leader changes, or forgets the box.
+    LeaderChanged,
+    /// A report and its answer arrive.
+    Reported,
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        4 => (1_u64..6).prop_map(Event::Ran),
-        1 => (0.0..0.5).prop_map(Event::Learned),
-        1 => Just(Event::WordLost),
+        4 => (1_u64..6).prop_map(Event::RequestStarted),
+        1 => (0.0..0.5).prop_map(Event::RateLearned),
+        1 => Just(Event::ReportLost),
         1 => Just(Event::AnswerLost),
-        1 => Just(Event::Overtaken),
-        1 => Just(Event::Forgotten),
-        3 => Just(Event::Told),
+        1 => Just(Event::ReportDelayed),
+        1 => Just(Event::LeaderChanged),
+        3 => Just(Event::Reported),
     ]
 }
 
 #[derive(Default)]
-struct World {
-    telling: DeltaSender,
+struct Simulation {
+    sender: DeltaSender,
     usage: Counts,
     engines: Models,
-    leader: Option<DeltaReceiver>,
+    receiver: Option<DeltaReceiver>,
     settled: Window,
-    turn: u64,
-    /// A word on its way, and for how many events more.
-    late: Option<(ReportDelta, u32)>,
+    seq: u64,
+    /// A delayed report, and the number of events until it arrives.
+    delayed: Option<(ReportDelta, u32)>,
 }
 
-impl World {
+impl Simulation {
     fn count(&mut self, window: u64) {
         let team: TeamName = format!("team-{}", window % 2).parse().unwrap();
         *self.usage.entry(Window(window)).or_default().entry(team).or_insert(0) += 1;
@@ -63,34 +63,34 @@
         (model.rate, model.weight) = (model.rate * (1.0 + part), 256.0);
     }
 
-    fn news(&mut self) -> ReportDelta {
-        self.turn += 1;
-        self.telling.delta(self.turn, self.usage.clone(), self.engines.clone())
+    fn next_delta(&mut self) -> ReportDelta {
+        self.seq += 1;
+        self.sender.delta(self.seq, self.usage.clone(), self.engines.clone())
     }
 
-    /// Has a word that was held up arrive, once it is due.
-    fn arrive(&mut self) {
-        match self.late.take() {
-            Some((news, 0)) => {
-                self.leader.get_or_insert_default().apply(news, self.settled);
+    /// Delivers the delayed report once it is due.
+    fn deliver_delayed(&mut self) {
+        match self.delayed.take() {
+            Some((delta, 0)) => {
+                self.receiver.get_or_insert_default().apply(delta, self.settled);
             }
-            Some((news, events)) => self.late = Some((news, events - 1)),
+            Some((delta, events)) => self.delayed = Some((delta, events - 1)),
             None => {}
         }
     }
 
-    /// A word; whether the leader lacked what it was news to.
-    fn tell(&mut self, arrives: bool, answered: bool) -> bool {
-        let news = self.news();
+    /// Sends a report. Returns whether the leader needs a full one.
+    fn report(&mut self, arrives: bool, is_answered: bool) -> bool {
+        let delta = self.next_delta();
         if !arrives {
             return false;
         }
-        let lacks = self.leader.get_or_insert_default().apply(news.clone(), self.settled);
-        if answered {
+        let needs_full = self.receiver.get_or_insert_default().apply(delta.clone(), self.settled);
+        if is_answered {
             self.usage.retain(|window, _| *window > self.settled);
-            self.telling.handle_answer(news, lacks, self.settled);
+            self.sender.handle_answer(delta, needs_full, self.settled);
         }
-        lacks
+        needs_full
     }
 
     fn counts(&self) -> Counts {
@@ -100,36 +100,42 @@
 }
 
 proptest! {
-    /// Whatever is lost, the leader has all counts after a word that it answers, or after the next one
-    /// where it said that it lacked some, and never a count that did not run.
+    /// Whatever is lost, the leader has all counts after a report that it answers, or after the next one if it asked for
+    /// a full report, and it never has counts of requests that did not run.
     #[test]
-    fn leader_has_all_that_ran(events in prop::collection::vec(event(), 1..60), settled in 0_u64..4) {
-        let mut world = World::default();
+    fn leader_has_the_counts_of_all_requests(
+        events in prop::collection::vec(event(), 1..60),
+        settled in 0_u64..4,
+    ) {
+        let mut simulation = Simulation::default();
         for (place, event) in events.iter().enumerate() {
             if place == events.len() / 2 {
-                world.settled = Window(settled);
+                simulation.settled = Window(settled);
             }
-            world.arrive();
+            simulation.deliver_delayed();
             match *event {
-                Event::Ran(window) if Window(window) > world.settled => world.count(window),
-                Event::Ran(_) => {}
-                Event::Learned(part) => world.learn(part),
-                Event::WordLost => drop(world.tell(false, false)),
-                Event::AnswerLost => drop(world.tell(true, false)),
-                Event::Overtaken => world.late = Some((world.news(), 2)),
-                Event::Forgotten => world.leader = None,
-                Event::Told => {
-                    if world.tell(true, true) {
-                        prop_assert!(!world.tell(true, true), "all was told");
+                Event::RequestStarted(window) if Window(window) > simulation.settled => {
+                    simulation.count(window);
+                }
+                Event::RequestStarted(_) => {}
+                Event::RateLearned(part) => simulation.learn(part),
+                Event::ReportLost => drop(simulation.report(false, false)),
+                Event::AnswerLost => drop(simulation.report(true, false)),
+                Event::ReportDelayed => simulation.delayed = Some((simulation.next_delta(), 2)),
+                Event::LeaderChanged => simulation.receiver = None,
+                Event::Reported => {
+                    if simulation.report(true, true) {
+                        prop_assert!(!simulation.report(true, true), "a full report was sent");
                     }
-                    let heard = world.leader.as_ref().unwrap();
-                    prop_assert_eq!(&heard.usage, &world.counts());
+                    let receiver = simulation.receiver.as_ref().unwrap();
+                    prop_assert_eq!(&receiver.usage, &simulation.counts());
                 }
             }
-            for (window, counts) in world.leader.iter().flat_map(|heard| &heard.usage) {
+            let received = simulation.receiver.iter().flat_map(|receiver| &receiver.usage);
+            for (window, counts) in received {
                 for (team, count) in counts {
-                    let ran = world.usage.get(window).and_then(|counts| counts.get(team));
-                    prop_assert!(*window <= world.settled || ran >= Some(count));
+                    let ran = simulation.usage.get(window).and_then(|counts| counts.get(team));
+                    prop_assert!(*window <= simulation.settled || ran >= Some(count));
                 }
             }
         }
@@ -137,18 +143,18 @@
 }
 
 #[test]
-fn what_has_not_changed_is_not_told_again() {
-    let mut world = World::default();
-    world.count(1);
-    world.count(2);
-    world.learn(0.0);
-    world.tell(true, true);
-    world.count(2);
-    world.learn(0.01);
-    let news = world.news();
-    let windows: BTreeMap<_, _> = news.usage.into_iter().collect();
+fn only_changes_are_reported() {
+    let mut simulation = Simulation::default();
+    simulation.count(1);
+    simulation.count(2);
+    simulation.learn(0.0);
+    simulation.report(true, true);
+    simulation.count(2);
+    simulation.learn(0.01);
+    let delta = simulation.next_delta();
+    let windows: BTreeMap<_, _> = delta.usage.into_iter().collect();
     assert_eq!(windows.keys().collect::<Vec<_>>(), [&Window(2)]);
-    assert!(news.engines.is_none() && !news.is_full);
-    world.learn(0.1);
-    assert!(world.news().engines.is_some());
+    assert!(delta.engines.is_none() && !delta.is_full);
+    simulation.learn(0.1);
+    assert!(simulation.next_delta().engines.is_some());
 }
