--- a/src/control/fetch.rs
+++ b/src/control/fetch.rs
@@ -22,7 +22,7 @@
 /// Fetches what the box lacks until the task is dropped.
 pub(crate) async fn run(relay: Arc<Relay>, access: Access) {
     loop {
-        let mut wanted = relay.servers.lacking();
+        let mut wanted = relay.servers.missing_parts();
         if wanted.is_empty() {
             relay.index_changed.notified().await;
             continue;
--- a/src/control/heartbeat.rs
+++ b/src/control/heartbeat.rs
@@ -135,7 +135,7 @@
             tracing::info!(event = "leader_heard", heard, list_term = %version.term);
         }
         lost = !heard;
-        let listed = relay.servers.index_print().is_some();
+        let listed = relay.servers.index_hash().is_some();
         failed = if heard && listed { 0 } else { failed + 1 };
         let pause = match (failed > 0, relay.releases().should_report_often()) {
             (true, _) => retry_delay(relay.relay_count(), failed - 1),
@@ -167,7 +167,7 @@
         box_id: box_id.clone(),
         data_centre: Some(relay.context.topology.own().clone()),
         life,
-        list: relay.servers.index_print(),
+        list: relay.servers.index_hash(),
         revision: relay.context.board.revision(),
         document: relay.context.board.document().version,
         whole: news.is_full,
@@ -194,7 +194,7 @@
                 told.models = Some(word.print);
                 relay.engines().take(word.models);
             }
-            relay.servers.apply_placed_loads(&reply.loads);
+            relay.servers.apply_part_loads(&reply.loads);
             // After a stop of everything the leader knows this about 0.3 s before the other replicas can be sure.
             let age = reply.age.map(Duration::from_millis);
             relay.context.board.record_answer(reply.document, access.leader(), asked, age);
--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -266,7 +266,7 @@
         let listed: Vec<_> = parts.iter().flat_map(|(_, servers)| servers).copied().collect();
         let mut drawn = self.loads.draw(&listed, now, rand::random());
         drawn.truncate(loads::due(before.map(|before| now - before)));
-        part_loads::placed(&drawn, parts)
+        part_loads::to_part_loads(&drawn, parts)
     }
 
     /// The entries of the last reading of the list that cannot be read, each said once in a term.
--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -11,7 +11,7 @@
 use super::Relay;
 use super::call::{Call, KvCacheExport, ReplyHead, SendContext, ServerLoad};
 use super::ends;
-use super::known::Known;
+use super::known::KnownServer;
 use super::table::Route;
 use crate::backend::{Exchange, Reuse, SendFault};
 use crate::clock;
@@ -144,7 +144,7 @@
     relay: &Relay,
     call: &Call,
     route: &Route,
-    known: &Known,
+    known: &KnownServer,
     start: StartState<'_>,
     limit: Duration,
 ) -> Result<CheckedReply, SendFailure> {
@@ -194,8 +194,8 @@
             if exchange.status == StatusCode::MISDIRECTED_REQUEST {
                 // A different server listens at this address, so the intended one is gone.
                 ends::record_end(relay, known);
-                known.leave_at_once();
-                relay.servers.doubt(known);
+                known.mark_gone();
+                relay.servers.mark_suspect(known);
             }
             if head.load.is_none() && exchange.status == StatusCode::SERVICE_UNAVAILABLE {
                 // The server is full. Recording this keeps the next request from choosing it.
@@ -221,7 +221,12 @@
 
 /// Counts the request and has the bytes of its reply counted. The connect time of a new connection
 /// is a distance sample.
-fn count_exchange(relay: &Relay, call: &Call, known: &Known, mut exchange: Exchange) -> Exchange {
+fn count_exchange(
+    relay: &Relay,
+    call: &Call,
+    known: &KnownServer,
+    mut exchange: Exchange,
+) -> Exchange {
     let data_centre = &known.server.data_centre;
     let reach = relay.context.topology.reach(data_centre);
     relay.traffic.count_send(reach, call.body.len());
@@ -233,7 +238,7 @@
 }
 
 /// Records a reply in which the server reports a failure, or an invalid reply.
-fn record_failed_answer(relay: &Relay, known: &Known, route: &Route) {
+fn record_failed_answer(relay: &Relay, known: &KnownServer, route: &Route) {
     record_failure(relay, known);
     known.state.fail_route(&route.name);
     relay.record_outcome(known, &route.name, AnswerOutcome::Failed);
@@ -241,38 +246,38 @@
 
 /// Records that a send or a stream failed. After a timeout the server's incarnation is not queried:
 /// overload also causes timeouts, and the query would add to it.
-pub(super) fn record_fault(relay: &Relay, known: &Known, timed_out: bool) {
+pub(super) fn record_fault(relay: &Relay, known: &KnownServer, timed_out: bool) {
     record_failure(relay, known);
     if !timed_out {
-        relay.servers.doubt(known);
+        relay.servers.mark_suspect(known);
     }
 }
 
 /// Records a failure. A server that is ejected after several failures in a row may have restarted,
 /// so its incarnation is queried.
-fn record_failure(relay: &Relay, known: &Known) {
+fn record_failure(relay: &Relay, known: &KnownServer) {
     if known.state.fail() {
         tracing::warn!(event = "backend_server_set_aside", backend_server = %known.server.id);
-        relay.servers.doubt(known);
+        relay.servers.mark_suspect(known);
     }
 }
 
 /// Records what a reply asks of this box: a rate limit, a pause, or no further requests because the
 /// server is shutting down.
-fn record_server_notices(relay: &Relay, known: &Known, head: &ReplyHead) {
+fn record_server_notices(relay: &Relay, known: &KnownServer, head: &ReplyHead) {
     record_limit(relay, known, head);
     if let Some(pause) = head.requested_pause {
         let service = &known.server.service;
         relay.pauses().record(&known.key(), service, pause, clock::now());
     }
     if head.leaving {
-        known.depart();
+        known.record_shutdown_notice();
     }
 }
 
 /// Records the rate limit that a reply announces. Only a signed reply without a limit shows that an
 /// earlier limit has ended.
-fn record_limit(relay: &Relay, known: &Known, head: &ReplyHead) {
+fn record_limit(relay: &Relay, known: &KnownServer, head: &ReplyHead) {
     let names_no_limit = head.limit_notice == LimitNotice::None;
     if names_no_limit && (!(head.matches_request && head.signed) || relay.throttles().is_empty()) {
         return;
@@ -290,7 +295,7 @@
     }
 }
 
-fn record_load(relay: &Relay, known: &Known, load: ServerLoad) {
+fn record_load(relay: &Relay, known: &KnownServer, load: ServerLoad) {
     known.state.report(load.running, load.waiting, Duration::ZERO);
     let requests = load.running + load.waiting;
     relay.loads().note(known.key(), requests, Instant::now());
@@ -299,7 +304,7 @@
 fn build_request(
     relay: &Relay,
     call: &Call,
-    known: &Known,
+    known: &KnownServer,
     start: StartState<'_>,
 ) -> Request<Full<Bytes>> {
     let StartState { last_event_id, prefix_source, kv_export } = start;
--- a/src/relay/attempts.rs
+++ b/src/relay/attempts.rs
@@ -8,7 +8,7 @@
 use super::Relay;
 use super::attempt::SendFailure;
 use super::call::Call;
-use super::known::Known;
+use super::known::KnownServer;
 use super::pick::Picker;
 use super::quarantine;
 use super::restraint::{self, Restraints};
@@ -123,7 +123,7 @@
         relay: &Relay,
         call: &Call,
         route: &Route,
-    ) -> Result<Arc<Known>, Failure> {
+    ) -> Result<Arc<KnownServer>, Failure> {
         if self.unknown_outcome.is_some() && !route.repeat.is_repeatable() {
             return Err(self.final_failure(relay));
         }
@@ -150,7 +150,7 @@
         if self.reached > 0 || limit.is_some() || volume::allows_ordinary() {
             tracing::info!(
                 event = "server_chosen", id = call.head.id, backend_server = %known.server.id,
-                requests = known.requests(), unread = known.unread(), slots = known.server.slots,
+                requests = known.estimated_requests(), unread = known.queued_prompt_tokens(), slots = known.server.slots,
                 reach = %self.reach, load_age_ms = known.state.load().map(|load| load.at.elapsed().as_millis() as u64),
                 send = self.reached + 1, limit = limit.map(tracing::field::display),
             );
@@ -178,7 +178,7 @@
     }
 
     /// Records a send that produced no answer to forward.
-    pub fn record_failure(&mut self, call: &Call, known: &Known, failure: SendFailure) {
+    pub fn record_failure(&mut self, call: &Call, known: &KnownServer, failure: SendFailure) {
         tracing::info!(
             event = "send_missed", id = call.head.id, service = %self.service,
             backend_server = %known.server.id, not_run = matches!(failure, SendFailure::NotRun { .. }),
@@ -210,7 +210,7 @@
         if self.maybe_run > 0 {
             return Failure::new(Kind::BackendTimeout, "a server that did not answer was given up");
         }
-        let servers = relay.servers.of(&self.service);
+        let servers = relay.servers.for_service(&self.service);
         let wait = self.restraint_wait(relay, &servers);
         let Some(last) = &self.last_failure else {
             let text = format!("no backend server of {} takes work", self.service);
@@ -223,7 +223,7 @@
 
     /// Retry-After when every available server is rate limited or paused: the time until the first
     /// of them accepts requests again. Another box may send to it earlier.
-    fn restraint_wait(&self, relay: &Relay, servers: &[Arc<Known>]) -> Option<Duration> {
+    fn restraint_wait(&self, relay: &Relay, servers: &[Arc<KnownServer>]) -> Option<Duration> {
         let restraints = Restraints::now(relay, &self.service);
         let mut open = servers.iter().filter(|known| known.is_open());
         if open.any(|known| restraints.allows(known)) {
@@ -237,10 +237,10 @@
     /// data centre. The KV cache leaves the region only if no server in the region has room. When a
     /// whole data centre shuts down, all its runs move at once and would overload the few remaining
     /// servers of the region. A moved run counts as the same send.
-    pub fn move_target(&self, relay: &Relay, source: &Known) -> Option<Arc<Known>> {
+    pub fn move_target(&self, relay: &Relay, source: &KnownServer) -> Option<Arc<KnownServer>> {
         let topology = &relay.context.topology;
         let region = topology.region_or_own(&source.server.data_centre);
-        let servers = relay.servers.of(&self.service);
+        let servers = relay.servers.for_service(&self.service);
         let restraints = Restraints::now(relay, &self.service);
         let open: Vec<_> = servers
             .iter()
@@ -252,23 +252,33 @@
                     && !known.state.is_ejected()
             })
             .collect();
-        let requests: f64 = open.iter().map(|known| f64::from(known.requests())).sum();
+        let requests: f64 = open.iter().map(|known| f64::from(known.estimated_requests())).sum();
         let mean_requests = requests / open.len().max(1) as f64;
-        let is_near = |known: &Known| {
+        let is_near = |known: &KnownServer| {
             topology.region_or_own(&known.server.data_centre) == region
-                && has_room(f64::from(known.requests()), known.server.slots, mean_requests)
+                && has_room(
+                    f64::from(known.estimated_requests()),
+                    known.server.slots,
+                    mean_requests,
+                )
         };
         let has_near = topology.is_split() && open.iter().any(|known| is_near(known));
         let in_other_data_centre =
-            |known: &Known| known.server.data_centre != source.server.data_centre;
+            |known: &KnownServer| known.server.data_centre != source.server.data_centre;
         let eligible = open.into_iter().filter(|known| !has_near || is_near(known));
-        let found = eligible.min_by_key(|known| (!in_other_data_centre(known), known.requests()));
+        let found =
+            eligible.min_by_key(|known| (!in_other_data_centre(known), known.estimated_requests()));
         found.filter(|known| restraint::claim(relay, known)).cloned()
     }
 
     /// Selects a server of the release that this send goes to. If that is a release under trial and
     /// none of its servers accepts the send, selects one of the release in force.
-    fn pick_server(&mut self, relay: &Relay, call: &Call, route: &Route) -> Option<Arc<Known>> {
+    fn pick_server(
+        &mut self,
+        relay: &Relay,
+        call: &Call,
+        route: &Route,
+    ) -> Option<Arc<KnownServer>> {
         let is_first = self.tried_servers.is_empty();
         self.release_choice = relay.releases().choose(&self.service, is_first, Instant::now());
         if let Some(known) = self.pick_of_release(relay, call, route) {
@@ -282,7 +292,12 @@
         self.pick_of_release(relay, call, route)
     }
 
-    fn pick_of_release(&mut self, relay: &Relay, call: &Call, route: &Route) -> Option<Arc<Known>> {
+    fn pick_of_release(
+        &mut self,
+        relay: &Relay,
+        call: &Call,
+        route: &Route,
+    ) -> Option<Arc<KnownServer>> {
         let (service, release_choice) = (&self.service, &self.release_choice);
         let tried_servers = &self.tried_servers[..];
         let (engine, model) = (relay.engine_spec(service), relay.engines().model(service));
@@ -312,7 +327,7 @@
 
 /// Estimated time until a slot is free: mean service time divided by the number of slots, times the
 /// number of waiting requests.
-fn queue_wait(servers: &[Arc<Known>]) -> Duration {
+fn queue_wait(servers: &[Arc<KnownServer>]) -> Duration {
     let open = servers.iter().filter(|known| known.is_open());
     let (mut slots, mut waiting, mut time, mut count) = (0.0, 1.0, 0.0, 0.0);
     for known in open {
--- a/src/relay/ends.rs
+++ b/src/relay/ends.rs
@@ -1,8 +1,9 @@
-//! Which backend servers have ended, and which requests ran on them.
+//! Detects backend servers that have ended, and reports the requests that ran on them.
 //!
-//! An exchange that breaks off proves nothing about its server: a link may have been reset. The server has
-//! ended if nobody listens at its address any more, another server has the address, or it is in another life.
-//! So each break is followed by a few looks at the server.
+//! An exchange that breaks off does not prove that its server has ended: the connection may have
+//! been reset. The server has ended if nothing listens at its address any more, if another server
+//! has the address, or if it is in another incarnation. So each broken exchange is followed by a
+//! few probes of the server.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex};
@@ -11,40 +12,40 @@
 use tokio::sync::Notify;
 
 use super::Relay;
-use super::known::Known;
+use super::known::KnownServer;
 use super::quarantine;
 use crate::backend::SendFault;
 use crate::decide::ends::CrashReport;
 use crate::ids::{BackendId, Fingerprint};
 use crate::sync::lock;
 
-/// Pauses before the looks at a server on which something broke. One that ends stays away for longer than
-/// the first, and one that is there after all of them has not ended.
-const LOOKS: [Duration; 4] = [
+/// Delays before each probe of a server after a broken exchange. A server that ends stays
+/// unreachable for longer than the first delay. One that passes all probes has not ended.
+const PROBE_DELAYS: [Duration; 4] = [
     Duration::from_millis(20),
     Duration::from_millis(100),
     Duration::from_millis(400),
     Duration::from_millis(1_000),
 ];
 
-/// Servers that are looked at together: whatever ends beyond that at once is no request's doing.
-const BROKEN_LIMIT: usize = 64;
+/// How many servers are probed at the same time. If more end at once, a request is not the cause.
+const MAX_WATCHED_SERVERS: usize = 64;
 
-/// Requests remembered for one of them: more than run at a time from one box.
-const REQUESTS_LIMIT: usize = 64;
+/// How many requests are recorded for one server: more than one box runs there at a time.
+const MAX_REQUESTS_PER_SERVER: usize = 64;
 
-/// What broke off at one server.
-struct Broken {
-    known: Arc<Known>,
+/// A server with broken exchanges, until the probes have a result.
+struct BrokenServer {
+    known: Arc<KnownServer>,
     requests: BTreeSet<Fingerprint>,
-    /// When the first of it did.
+    /// When the first exchange broke off.
     at: Instant,
-    /// Whether the looks at it have begun.
-    watched: bool,
+    /// Whether the probes have started.
+    probing: bool,
 }
 
-impl Broken {
-    fn told(&self) -> CrashReport {
+impl BrokenServer {
+    fn to_report(&self) -> CrashReport {
         let server = &self.known.server;
         CrashReport {
             server: server.id.clone(),
@@ -55,43 +56,43 @@
     }
 }
 
-/// The exchanges that broke off, until it is known whether their servers have ended.
+/// Collects broken exchanges until it is known whether their servers have ended.
 #[derive(Default)]
-pub struct EndWatch {
-    broken: Mutex<BTreeMap<BackendId, Broken>>,
+pub struct EndDetector {
+    broken: Mutex<BTreeMap<BackendId, BrokenServer>>,
     broke: Notify,
 }
 
-impl EndWatch {
-    /// Notes that an exchange broke off behind which the request may have run.
-    pub fn record_break(&self, known: &Arc<Known>, request: Fingerprint) {
+impl EndDetector {
+    /// Records an exchange that broke off after the server may have run the request.
+    pub fn record_break(&self, known: &Arc<KnownServer>, request: Fingerprint) {
         let mut broken = lock(&self.broken);
         let id = &known.server.id;
-        if broken.len() >= BROKEN_LIMIT && !broken.contains_key(id) {
+        if broken.len() >= MAX_WATCHED_SERVERS && !broken.contains_key(id) {
             tracing::debug!(event = "break_not_followed", backend_server = %id);
             return;
         }
-        let held = broken.entry(id.clone()).or_insert_with(|| Broken {
+        let held = broken.entry(id.clone()).or_insert_with(|| BrokenServer {
             known: known.clone(),
             requests: BTreeSet::new(),
             at: Instant::now(),
-            watched: false,
+            probing: false,
         });
-        if held.requests.len() < REQUESTS_LIMIT {
+        if held.requests.len() < MAX_REQUESTS_PER_SERVER {
             held.requests.insert(request);
         }
         drop(broken);
         self.broke.notify_one();
     }
 
-    /// The servers at which the looks are to begin; waits until there is one.
-    async fn unwatched(&self) -> Vec<Arc<Known>> {
+    /// The servers whose probes have not started. Waits until there is one.
+    async fn next_unprobed(&self) -> Vec<Arc<KnownServer>> {
         loop {
             let found: Vec<_> = {
                 let mut broken = lock(&self.broken);
-                let new = broken.values_mut().filter(|it| !it.watched);
+                let new = broken.values_mut().filter(|it| !it.probing);
                 new.map(|it| {
-                    it.watched = true;
+                    it.probing = true;
                     it.known.clone()
                 })
                 .collect()
@@ -103,23 +104,23 @@
         }
     }
 
-    /// Takes what broke off at a server.
-    fn take(&self, id: &BackendId) -> Option<Broken> {
+    /// Removes and returns what broke off at a server.
+    fn take(&self, id: &BackendId) -> Option<BrokenServer> {
         lock(&self.broken).remove(id)
     }
 }
 
-/// Looks at the servers on which something broke, until the task is dropped.
+/// Probes the servers with broken exchanges until the task is dropped.
 pub async fn run(relay: Arc<Relay>) {
     loop {
-        for known in relay.ends.unwatched().await {
-            tokio::spawn(look(relay.clone(), known));
+        for known in relay.ends.next_unprobed().await {
+            tokio::spawn(probe(relay.clone(), known));
         }
     }
 }
 
-async fn look(relay: Arc<Relay>, known: Arc<Known>) {
-    for pause in LOOKS {
+async fn probe(relay: Arc<Relay>, known: Arc<KnownServer>) {
+    for pause in PROBE_DELAYS {
         tokio::time::sleep(pause).await;
         let has_ended = known.state.is_over()
             || matches!(
@@ -134,8 +135,9 @@
     relay.ends.take(&known.server.id);
 }
 
-/// Notes that a server has ended; what broke off there ran on it when it did.
-pub(super) fn record_end(relay: &Relay, known: &Known) {
+/// Records that a server has ended. The requests whose exchanges broke off there were running when
+/// it ended.
+pub(super) fn record_end(relay: &Relay, known: &KnownServer) {
     let Some(broken) = relay.ends.take(&known.server.id) else {
         return;
     };
@@ -143,7 +145,7 @@
     relay.context.metrics.count_end(leaving);
     let requests: Vec<_> = broken.requests.iter().map(Fingerprint::to_string).collect();
     if !leaving {
-        quarantine::record_end(relay, broken.told());
+        quarantine::record_end(relay, broken.to_report());
     }
     tracing::warn!(
         event = "backend_server_ended", backend_server = %known.server.id,
--- a/src/relay/known.rs
+++ b/src/relay/known.rs
@@ -1,4 +1,4 @@
-//! One backend server as a box knows it, in one life.
+//! The state that a box keeps of one incarnation of a backend server.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,188 +14,196 @@
 use crate::member::table::fingerprint;
 use crate::units::UnixMillis;
 
-/// How long a server that leaves is taken to stay when nothing says so.
-pub(super) const LEAVE_TIME: Duration = Duration::from_secs(30);
+/// How long a server that is shutting down is assumed to keep running if nothing says how long.
+pub(super) const DEFAULT_SHUTDOWN_DELAY: Duration = Duration::from_secs(30);
 
-/// What a box knows of one backend server in one life. A later life of the server has another one.
+/// What a box knows of one incarnation of a backend server. A later incarnation has its own
+/// instance.
 #[derive(Debug)]
-pub struct Known {
-    /// What the platform lists.
+pub struct KnownServer {
+    /// The server as listed by the platform.
     pub server: Server,
-    /// A hash of its id: its place in the order of its service's servers.
+    /// A hash of the server's id, by which the servers of a service are ordered.
     pub hash: u64,
-    /// The life, as far as it is known.
+    /// The incarnation, as far as it is known.
     pub(super) life: ServerIncarnation,
-    /// What this box has seen of this life.
+    /// What this box has observed of the incarnation.
     pub state: Arc<BackendState>,
-    /// Prompt tokens of this box's requests that have not begun to run there.
-    unread: Arc<AtomicU64>,
-    /// Tokens that this box's requests keep there at most.
-    tokens: Arc<AtomicU64>,
+    /// Prompt tokens of this box's requests that the server has not started to run.
+    queued_prompt_tokens: Arc<AtomicU64>,
+    /// The most tokens that this box's requests occupy in the server's KV cache.
+    reserved_tokens: Arc<AtomicU64>,
 }
 
-/// Counts a request in flight to a server until dropped; its prompt until it has begun to run.
-pub struct Flight {
-    known: Arc<Known>,
+/// Counts a request in flight to a server until dropped. Its prompt tokens count as queued until
+/// the server starts to run it.
+pub struct InFlightRequest {
+    server: Arc<KnownServer>,
     prompt: u64,
-    tokens: u64,
-    over: watch::Receiver<bool>,
+    reserved_tokens: u64,
+    restarted: watch::Receiver<bool>,
     _guard: FlightGuard,
 }
 
-impl Flight {
-    /// The server.
-    pub fn known(&self) -> &Arc<Known> {
-        &self.known
+impl InFlightRequest {
+    /// The server that the request was sent to.
+    pub fn server(&self) -> &Arc<KnownServer> {
+        &self.server
     }
 
-    /// Waits until the server is known to have started again: the request will not be answered.
-    pub async fn ended(&mut self) {
-        // The sender is in the state that this flight keeps, so the wait ends only with the life.
-        let _ = self.over.wait_for(|over| *over).await;
+    /// Waits until the server is known to have restarted, in which case it will not answer the
+    /// request.
+    pub async fn server_restarted(&mut self) {
+        // The sender is part of the state that this value holds, so the wait ends only with the
+        // incarnation.
+        let _ = self.restarted.wait_for(|restarted| *restarted).await;
     }
 
-    /// Notes that the request has begun to run: its prompt is read.
-    pub fn begun(&mut self) {
-        self.known.unread.fetch_sub(self.prompt, Ordering::SeqCst);
+    /// Marks the request as running: its prompt tokens are no longer queued.
+    pub fn mark_started(&mut self) {
+        self.server.queued_prompt_tokens.fetch_sub(self.prompt, Ordering::SeqCst);
         self.prompt = 0;
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        self.known.unread.fetch_sub(self.prompt, Ordering::SeqCst);
-        self.known.tokens.fetch_sub(self.tokens, Ordering::SeqCst);
+        self.server.queued_prompt_tokens.fetch_sub(self.prompt, Ordering::SeqCst);
+        self.server.reserved_tokens.fetch_sub(self.reserved_tokens, Ordering::SeqCst);
     }
 }
 
-impl Known {
-    /// Counts a request in flight, with so many prompt tokens and so many that it keeps at most.
-    pub fn begin(self: &Arc<Self>, prompt: u64, tokens: u64) -> Flight {
-        self.unread.fetch_add(prompt, Ordering::SeqCst);
-        self.tokens.fetch_add(tokens, Ordering::SeqCst);
-        let (over, guard) = (self.state.follow_end(), self.state.begin());
-        Flight { known: self.clone(), prompt, tokens, over, _guard: guard }
+impl KnownServer {
+    /// Counts a request in flight with `prompt` prompt tokens and at most `reserved` tokens in the
+    /// KV cache.
+    pub fn start_request(self: &Arc<Self>, prompt: u64, reserved_tokens: u64) -> InFlightRequest {
+        self.queued_prompt_tokens.fetch_add(prompt, Ordering::SeqCst);
+        self.reserved_tokens.fetch_add(reserved_tokens, Ordering::SeqCst);
+        let (restarted, guard) = (self.state.follow_end(), self.state.begin());
+        InFlightRequest { server: self.clone(), prompt, reserved_tokens, restarted, _guard: guard }
     }
 
-    /// Tokens that this box's requests keep there at most.
-    pub fn tokens(&self) -> u64 {
-        self.tokens.load(Ordering::SeqCst)
+    /// The most tokens that this box's requests occupy in the server's KV cache.
+    pub fn reserved_tokens(&self) -> u64 {
+        self.reserved_tokens.load(Ordering::SeqCst)
     }
 
-    /// Prompt tokens of this box's requests that it has still to read.
-    pub fn unread(&self) -> u64 {
-        self.unread.load(Ordering::SeqCst)
+    /// Prompt tokens of this box's requests that the server has not started to run.
+    pub fn queued_prompt_tokens(&self) -> u64 {
+        self.queued_prompt_tokens.load(Ordering::SeqCst)
     }
 
-    /// Requests there by its last word, corrected by what this box has sent and finished since.
-    pub fn requests(&self) -> u32 {
-        self.others().map_or(0, |(others, _)| others) + self.state.in_flight()
+    /// The number of requests at the server: its last report without this box's requests, plus
+    /// those that this box has in flight.
+    pub fn estimated_requests(&self) -> u32 {
+        self.other_load().map_or(0, |(others, _)| others) + self.state.in_flight()
     }
 
-    /// Its last word of its load, without this box's requests.
+    /// The load in the server's last report, without this box's requests.
     pub fn load_estimate(&self) -> Option<LoadEstimate> {
-        let (others, at) = self.others()?;
+        let (others, at) = self.other_load()?;
         Some(LoadEstimate { requests: f64::from(others), age: at.elapsed().as_secs_f64() })
     }
 
-    /// Requests of others there by its last word, and when that was true.
-    fn others(&self) -> Option<(u32, Instant)> {
+    /// The number of other boxes' requests in the server's last report, and the time of that
+    /// report.
+    fn other_load(&self) -> Option<(u32, Instant)> {
         let load = self.state.load()?;
         Some(((load.running + load.waiting).saturating_sub(load.own), load.at))
     }
 
-    /// The life; 0 where nothing has told it.
-    pub fn life(&self) -> Incarnation {
+    /// The incarnation; 0 if unknown.
+    pub fn incarnation(&self) -> Incarnation {
         self.life.id()
     }
 
-    /// The server in this life.
+    /// The server's id and incarnation.
     pub fn key(&self) -> ServerKey {
-        ServerKey { id: self.server.id.clone(), life: self.life() }
+        ServerKey { id: self.server.id.clone(), life: self.incarnation() }
     }
 
-    /// Notes that it is gone: its address answers for another server.
-    pub fn leave_at_once(&self) {
-        if self.leave(Duration::ZERO) {
+    /// Marks the server as gone because its address now answers for another server.
+    pub fn mark_gone(&self) {
+        if self.mark_leaving(Duration::ZERO) {
             tracing::info!(event = "backend_server_gone", backend_server = %self.server.id);
         }
     }
 
-    /// Records its own word, in an answer, that it is leaving.
-    pub(super) fn depart(&self) {
+    /// Records the server's notice, in an answer, that it is shutting down.
+    pub(super) fn record_shutdown_notice(&self) {
         if self.state.depart() {
             tracing::info!(event = "server_says_it_leaves", backend_server = %self.server.id);
-            self.leave(LEAVE_TIME);
+            self.mark_leaving(DEFAULT_SHUTDOWN_DELAY);
         }
     }
 
-    /// Takes word that this life leaves within a time; `true` if new.
-    pub(super) fn leave(&self, left: Duration) -> bool {
-        // The state is of this life alone, whatever it is called.
+    /// Marks the incarnation as leaving after `left`. Returns `true` if it was not marked before.
+    pub(super) fn mark_leaving(&self, left: Duration) -> bool {
+        // The state belongs to this incarnation alone, so its number does not matter.
         let life = Incarnation::default();
         self.state.leave(Leaving { life, gone: Instant::now() + left })
     }
 
-    /// Whether it takes new requests.
+    /// Whether the server accepts new requests.
     pub fn is_open(&self) -> bool {
         self.state.leaving().is_none()
     }
 }
 
-impl Known {
-    /// A life of a server of which nothing is known.
-    pub(super) fn fresh(server: Server, life: ServerIncarnation) -> Self {
+impl KnownServer {
+    /// Creates the state of an incarnation of which nothing is known.
+    pub(super) fn new(server: Server, life: ServerIncarnation) -> Self {
         let (hash, state) = (fingerprint(server.id.as_str()), Arc::default());
-        let (unread, tokens) = (Arc::default(), Arc::default());
-        Self { server, hash, life, state, unread, tokens }
+        let (queued_prompt_tokens, reserved_tokens) = (Arc::default(), Arc::default());
+        Self { server, hash, life, state, queued_prompt_tokens, reserved_tokens }
     }
 
-    /// The same life of the server, with what is known of it.
-    pub(super) fn with(&self, server: Server, life: ServerIncarnation) -> Self {
-        let (state, unread) = (self.state.clone(), self.unread.clone());
-        let (hash, tokens) = (self.hash, self.tokens.clone());
-        Self { server, hash, life, state, unread, tokens }
+    /// Replaces the listing and keeps the state that was observed.
+    pub(super) fn with_listing(&self, server: Server, life: ServerIncarnation) -> Self {
+        let (state, queued_prompt_tokens) = (self.state.clone(), self.queued_prompt_tokens.clone());
+        let (hash, reserved_tokens) = (self.hash, self.reserved_tokens.clone());
+        Self { server, hash, life, state, queued_prompt_tokens, reserved_tokens }
     }
 }
 
-/// The entry for a listed server with what was known of its life, if the list shows the same one. `life` is
-/// what was known of it when it was listed last.
-pub(super) fn update(
-    before: Option<&Arc<Known>>,
+/// Merges a listed server into what was known of it. The state is kept if both are the same
+/// incarnation. `life` is what was known of the incarnation when the server was last listed.
+pub(super) fn apply_listing(
+    before: Option<&Arc<KnownServer>>,
     life: Option<ServerIncarnation>,
     listed: &ListedServer,
-) -> Arc<Known> {
+) -> Arc<KnownServer> {
     let now = UnixMillis::now();
     let mut life = life.unwrap_or_else(|| ServerIncarnation::first_seen_at(now));
     let heard = life.update(listed.incarnation, IncarnationSource::Relayed, now);
     let Some(known) = before else {
-        return Arc::new(Known::fresh(listed.server.clone(), life));
+        return Arc::new(KnownServer::new(listed.server.clone(), life));
     };
     if heard == IncarnationUpdate::Outdated {
         return known.clone();
     }
-    let is_named = !listed.incarnation.is_none() && listed.incarnation == known.life();
-    // A server keeps its address for its life, so at another address it is another one, told or not.
+    let is_named = !listed.incarnation.is_none() && listed.incarnation == known.incarnation();
+    // A server has one address for its whole incarnation, so a server at another address is another
+    // incarnation, whether or not the list says so.
     let moved = known.server.addr != listed.server.addr && !is_named;
     if heard == IncarnationUpdate::Restarted || moved {
         if moved && listed.incarnation.is_none() {
             life.mark_restarted(now);
         }
-        end(known, &life);
-        return Arc::new(Known::fresh(listed.server.clone(), life));
+        end_incarnation(known, &life);
+        return Arc::new(KnownServer::new(listed.server.clone(), life));
     }
     match known.server == listed.server && known.life == life {
         true => known.clone(),
-        false => Arc::new(known.with(listed.server.clone(), life)),
+        false => Arc::new(known.with_listing(listed.server.clone(), life)),
     }
 }
 
-/// Ends what runs in a life that is over.
-pub(super) fn end(known: &Known, next: &ServerIncarnation) {
+/// Ends the requests in flight to an incarnation that is over.
+pub(super) fn end_incarnation(known: &KnownServer, next: &ServerIncarnation) {
     known.state.end();
     tracing::info!(
         event = "backend_server_restarted", backend_server = %known.server.id, life = %next.id(),
-        before = %known.life(), in_flight = known.state.in_flight(),
+        before = %known.incarnation(), in_flight = known.state.in_flight(),
     );
 }
--- a/src/relay/lives.rs
+++ b/src/relay/lives.rs
@@ -1,5 +1,5 @@
-//! Asks backend servers for a report on themselves when something makes doubt whether they are still in the
-//! life that is known. Which are asked, and when, is in [`crate::decide::lives`].
+//! Asks backend servers for a report when they may have restarted since their incarnation became
+//! known. Which servers are asked, and when, is decided in [`crate::decide::lives`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,33 +11,34 @@
 
 use super::Relay;
 use super::call::ServerReport;
-use super::known::Known;
+use super::known::KnownServer;
 use crate::backend::{Reuse, SendFault};
 use crate::decide::lives::IncarnationUpdate;
 
-/// How long a server may take. It needs no place for this, so one that is well answers at once.
-const ANSWER_TIME: Duration = Duration::from_millis(1_000);
+/// How long a server may take to answer. A report needs no request slot, so a healthy server
+/// answers at once.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Bytes of a report at most: it names what runs there, some hundred requests.
-const REPORT_LIMIT: usize = 256 << 10;
+/// The largest report accepted, in bytes. A report lists the server's requests, up to some hundred.
+const MAX_REPORT_BYTES: usize = 256 << 10;
 
-/// Asks what is doubtful until the task is dropped.
+/// Asks suspect servers for reports until the task is dropped.
 pub async fn run(relay: Arc<Relay>) {
     loop {
-        for known in relay.servers.doubtful().await {
+        for known in relay.servers.next_suspects().await {
             if relay.reports_incarnation(&known) {
-                tokio::spawn(ask(relay.clone(), known));
+                tokio::spawn(request_report(relay.clone(), known));
             }
         }
     }
 }
 
-async fn ask(relay: Arc<Relay>, known: Arc<Known>) {
-    match report(&relay, &known).await {
+async fn request_report(relay: Arc<Relay>, known: Arc<KnownServer>) {
+    match fetch_report(&relay, &known).await {
         Ok(Some(report)) => {
             let heard = relay.servers.apply_report(&known, &report);
             relay.context.metrics.count_report("read");
-            // The others hear it with this box's next word.
+            // The next heartbeat passes the restart on to the other boxes; send it now.
             if heard == IncarnationUpdate::Restarted {
                 relay.heartbeat_requested.notify_one();
             }
@@ -53,7 +54,10 @@
     }
 }
 
-async fn report(relay: &Relay, known: &Known) -> Result<Option<ServerReport>, SendFault> {
+async fn fetch_report(
+    relay: &Relay,
+    known: &KnownServer,
+) -> Result<Option<ServerReport>, SendFault> {
     let addr = known.server.addr;
     let (path, mut headers) = relay.context.dialect.write_report(&known.server.id);
     if let Ok(host) = HeaderValue::from_str(&addr.to_string()) {
@@ -62,8 +66,8 @@
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = Uri::from_static(path);
     *request.headers_mut() = headers;
-    let exchange = relay.context.pool.send(addr, request, ANSWER_TIME, Reuse::Any).await?;
+    let exchange = relay.context.pool.send(addr, request, REPORT_TIMEOUT, Reuse::Any).await?;
     let status = exchange.status;
-    let body = exchange.read_whole(REPORT_LIMIT, ANSWER_TIME).await?;
+    let body = exchange.read_whole(MAX_REPORT_BYTES, REPORT_TIMEOUT).await?;
     Ok(if status.is_success() { relay.context.dialect.read_report(&body) } else { None })
 }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -30,6 +30,7 @@
 
 pub mod attempt;
 pub mod attempts;
+pub mod by_reach;
 pub mod call;
 
 pub mod dialect;
@@ -47,7 +48,6 @@
 pub mod offered;
 pub mod part_loads;
 pub(crate) mod pick;
-pub mod placed;
 pub mod plain;
 pub(crate) mod quarantine;
 pub(crate) mod restraint;
@@ -91,10 +91,10 @@
 use crate::telemetry::Metrics;
 
 use dialect::Dialect;
-use ends::EndWatch;
+use ends::EndDetector;
 use engines::EngineTracker;
 
-use known::Known;
+use known::KnownServer;
 use list::{ListIndex, ListPart};
 use offered::OfferedTracker;
 use servers::ServerTable;
@@ -145,7 +145,7 @@
     throttles: Mutex<Throttles>,
     pauses: Mutex<Pauses>,
     /// Exchanges that broke off, kept until it is known whether their server has ended.
-    pub ends: EndWatch,
+    pub ends: EndDetector,
     /// Requests and bytes exchanged with backend servers.
     pub traffic: TrafficCounters,
     /// Number of relays that share the rate limits, as last reported by the leader; 0 before that.
@@ -190,7 +190,7 @@
             quarantine: Mutex::default(),
             throttles: Mutex::default(),
             pauses: Mutex::default(),
-            ends: EndWatch::default(),
+            ends: EndDetector::default(),
             traffic: TrafficCounters::default(),
             relay_count: AtomicU32::new(0),
             routes_or_servers_changed: Notify::new(),
@@ -319,7 +319,7 @@
     }
 
     /// Whether a server reports its incarnation. Engines do, plain services do not.
-    pub(crate) fn reports_incarnation(&self, known: &Known) -> bool {
+    pub(crate) fn reports_incarnation(&self, known: &KnownServer) -> bool {
         self.engine_spec(&known.server.service).is_some()
     }
 
@@ -340,7 +340,7 @@
 
     /// Records how a server answered a request of a route, to judge the server's release. If this
     /// box's own observations show that the release is bad, it reports to the leader at once.
-    pub fn record_outcome(&self, known: &Known, route: &str, outcome: AnswerOutcome) {
+    pub fn record_outcome(&self, known: &KnownServer, route: &str, outcome: AnswerOutcome) {
         let server = &known.server;
         let stops =
             self.releases().record_outcome(&server.service, &server.release, route, outcome);
--- a/src/relay/moving.rs
+++ b/src/relay/moving.rs
@@ -18,7 +18,7 @@
 use super::attempt::StartState;
 use super::attempts::CallAttempts;
 use super::call::{Call, KvCacheExport, MoveReply};
-use super::known::Known;
+use super::known::KnownServer;
 use super::quarantine;
 use super::stream::{EventSource, StartOutcome, StreamProgress, next_events, start_stream};
 use super::table::{EngineSpec, Route};
@@ -116,7 +116,7 @@
     source: &mut EventSource,
     progress: &mut StreamProgress,
 ) -> MoveOutcome {
-    let known = source.flight.known().clone();
+    let known = source.flight.server().clone();
     if quarantine::check(relay, call).is_err() {
         return MoveOutcome::NotMoved(Bytes::new());
     }
@@ -201,7 +201,7 @@
 async fn request_export(
     relay: &Relay,
     call: &Call,
-    source: &Known,
+    source: &KnownServer,
     target: SocketAddr,
 ) -> Option<(StatusCode, String)> {
     let (path, headers, body) = relay.context.dialect.write_move(call, &source.server.id, target);
--- a/src/relay/part_loads.rs
+++ b/src/relay/part_loads.rs
@@ -1,9 +1,10 @@
-//! Loads on their way from the leader to a box, by the servers' places in the parts of the list that both
-//! have: a third of the bytes that their ids take. Pure.
+//! The encoding of server loads from the leader to a box. Servers are identified by their index in
+//! the parts of the list that both sides hold, which takes a third of the bytes that ids take.
+//! Pure.
 //!
-//! A part is named by the print of its content, so a place means the same server on both sides whatever
-//! else has changed. A box that does not have the content lacks the servers as well, and passes the
-//! loads over.
+//! A part is identified by the hash of its content, so an index refers to the same server on both
+//! sides whatever else has changed. A box that does not hold a part does not know its servers
+//! either, and ignores their loads.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,59 +13,64 @@
 use crate::ids::{BackendId, ServerKey};
 use crate::units::Millis;
 
-/// A load of the server at a place of a part.
+/// The load of one server in a part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlacedLoad {
-    /// The place.
-    pub place: u32,
-    /// Requests there, running and waiting.
+pub struct IndexedLoad {
+    /// The server's index in the part.
+    #[serde(rename = "place")]
+    pub index: u32,
+    /// Number of requests at the server, running and waiting.
     pub requests: u32,
-    /// How long ago that was true.
+    /// Age of the measurement.
     pub age: Millis,
 }
 
-/// Loads of servers of one part.
+/// The loads of some servers of one part.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartLoads {
-    /// The print of the part's content.
+    /// The hash of the part's content.
     pub part: ContentHash,
     /// The loads.
-    pub loads: Vec<PlacedLoad>,
+    pub loads: Vec<IndexedLoad>,
 }
 
-/// The loads by the places of their servers in `parts`. They come in the order of the parts, from anywhere
-/// on, as they are drawn.
-pub fn placed(loads: &[LoadSample], parts: &[(ContentHash, Vec<&BackendId>)]) -> Vec<PartLoads> {
+/// Replaces server ids by their indices in `parts`. `loads` must be in the order of `parts`, but
+/// may start at any server and wrap around.
+pub fn to_part_loads(
+    loads: &[LoadSample],
+    parts: &[(ContentHash, Vec<&BackendId>)],
+) -> Vec<PartLoads> {
     let all: Vec<_> = parts
         .iter()
-        .flat_map(|(part, servers)| servers.iter().zip(0..).map(|(id, at)| (*part, at, *id)))
+        .flat_map(|(part, servers)| servers.iter().zip(0..).map(|(id, index)| (*part, index, *id)))
         .collect();
-    let mut places = all.iter().cycle().take(2 * all.len());
-    let mut placed: Vec<PartLoads> = Vec::new();
+    let mut entries = all.iter().cycle().take(2 * all.len());
+    let mut encoded: Vec<PartLoads> = Vec::new();
     for load in loads {
-        let Some(&(part, place, _)) = places.find(|(.., id)| **id == load.server) else {
+        let Some(&(part, index, _)) = entries.find(|(.., id)| **id == load.server) else {
             break;
         };
-        let load = PlacedLoad { place, requests: load.requests, age: load.age };
-        match placed.last_mut().filter(|last| last.part == part) {
+        let load = IndexedLoad { index, requests: load.requests, age: load.age };
+        match encoded.last_mut().filter(|last| last.part == part) {
             Some(last) => last.loads.push(load),
-            None => placed.push(PartLoads { part, loads: vec![load] }),
+            None => encoded.push(PartLoads { part, loads: vec![load] }),
         }
     }
-    placed
+    encoded
 }
 
-/// The loads by the ids of their servers; `find` gives the server at a place of a part.
-pub fn named(
+/// Replaces indices by server ids and incarnations. `find` returns the server at an index of a
+/// part; loads of unknown servers are dropped.
+pub fn to_load_samples(
     loads: &[PartLoads],
     find: impl Fn(ContentHash, usize) -> Option<ServerKey>,
 ) -> Vec<LoadSample> {
     let of_part = |it: &PartLoads| {
-        let told = it.loads.iter().filter_map(|load| {
-            let ServerKey { id, life } = find(it.part, load.place as usize)?;
+        let samples = it.loads.iter().filter_map(|load| {
+            let ServerKey { id, life } = find(it.part, load.index as usize)?;
             Some(LoadSample { server: id, life, requests: load.requests, age: load.age })
         });
-        told.collect::<Vec<_>>()
+        samples.collect::<Vec<_>>()
     };
     loads.iter().flat_map(of_part).collect()
 }
--- a/src/relay/pick.rs
+++ b/src/relay/pick.rs
@@ -7,9 +7,9 @@
 
 use super::Relay;
 use super::attempts::PrefillWork;
+use super::by_reach::{LocatedServer, ServersByReach};
 use super::call::{Call, PromptSegment};
-use super::known::Known;
-use super::placed::{Placed, PlacedServer};
+use super::known::KnownServer;
 use super::restraint::Restraints;
 use super::table::{EngineSpec, Route};
 use crate::decide::choose::{
@@ -58,7 +58,7 @@
 
 /// The selected server.
 pub(super) struct Picked {
-    pub(super) known: Arc<Known>,
+    pub(super) known: Arc<KnownServer>,
     pub(super) reach: Reach,
     /// The prompt tokens that the server has to process.
     pub(super) prefill_work: PrefillWork,
@@ -69,22 +69,22 @@
 /// For each region, the server that all its boxes expect to cache the call's shared prefix. A
 /// prefix that is requested in three regions is computed three times rather than copied between
 /// regions.
-type PrefixHomes = Vec<Option<PlacedServer>>;
+type PrefixHomes = Vec<Option<LocatedServer>>;
 
 /// Servers and what is known about each; all vectors have the same order.
 struct Comparison {
-    servers: Vec<PlacedServer>,
+    servers: Vec<LocatedServer>,
     candidates: Vec<Candidate>,
     /// For each server, the one it would copy the shared prefix from.
-    prefix_sources: Vec<Option<PlacedServer>>,
+    prefix_sources: Vec<Option<LocatedServer>>,
 }
 
 impl Picker<'_> {
     /// Selects the server that is expected to start the call first.
     pub(super) fn pick(&self) -> Option<Picked> {
-        let placed = self.relay.servers.placed(self.service);
+        let placed = self.relay.servers.by_reach(self.service);
         let homes = self.homes(&placed);
-        let loaded = self.relay.servers.loaded(self.service);
+        let loaded = self.relay.servers.with_recent_loads(self.service);
         let (compared, mean_requests) = match compares_all(placed.all.len()) {
             true => (self.compare(self.available(&placed), &homes), mean_requests(&placed)),
             false => {
@@ -98,15 +98,15 @@
     /// Computes the home of the shared prefix in each region. A service with few servers has a
     /// single home in all regions: with about four servers in a region, each server that starts or
     /// stops would move a quarter of all prefixes, and each region would compute them anew.
-    fn homes(&self, placed: &Placed) -> PrefixHomes {
+    fn homes(&self, placed: &ServersByReach) -> PrefixHomes {
         let prefix = self.call.shared_prefix();
         match compares_all(placed.all.len()) {
-            true => vec![prefix.and_then(|it| self.home(&placed.all, it)); placed.regions.len()],
-            false => placed.regions.iter().map(|servers| self.home(servers, prefix?)).collect(),
+            true => vec![prefix.and_then(|it| self.home(&placed.all, it)); placed.by_region.len()],
+            false => placed.by_region.iter().map(|servers| self.home(servers, prefix?)).collect(),
         }
     }
 
-    fn home(&self, servers: &[PlacedServer], prefix: PromptSegment) -> Option<PlacedServer> {
+    fn home(&self, servers: &[LocatedServer], prefix: PromptSegment) -> Option<LocatedServer> {
         let at = servers.partition_point(|it| it.known.hash < affinity(prefix.id, 0));
         let nearby = neighbours(servers.len(), at).into_iter().map(|index| &servers[index]);
         // A server with a rate limit serves only a few of the calls with the same prefix.
@@ -120,14 +120,14 @@
     /// with a known load. The prefix homes in the regions considered are always included.
     fn compare_sample(
         &self,
-        placed: &Placed,
-        loaded: &Placed,
+        placed: &ServersByReach,
+        loaded: &ServersByReach,
         mean_requests: Option<f64>,
         homes: &PrefixHomes,
     ) -> Comparison {
-        let mut sample: Vec<PlacedServer> = Vec::new();
-        for (index, group) in placed.groups.iter().enumerate() {
-            let loaded_group = loaded.groups.get(index).filter(|group| !group.is_empty());
+        let mut sample: Vec<LocatedServer> = Vec::new();
+        for (index, group) in placed.by_reach.iter().enumerate() {
+            let loaded_group = loaded.by_reach.get(index).filter(|group| !group.is_empty());
             let is_remote = group.first().is_some_and(|it| it.reach == Reach::Remote);
             let group_homes = homes.iter().flatten();
             let group_homes = group_homes.filter(|it| (it.reach == Reach::Remote) == is_remote);
@@ -146,7 +146,7 @@
     }
 
     /// Draws eligible servers of a group at random.
-    fn draw(&self, group: &[PlacedServer]) -> Vec<PlacedServer> {
+    fn draw(&self, group: &[LocatedServer]) -> Vec<LocatedServer> {
         for _ in 0..MAX_DRAWS {
             let drawn = drawn(group.len(), rand::random::<f64>);
             let mut takers: Vec<_> = drawn.into_iter().map(|index| group[index].clone()).collect();
@@ -158,12 +158,12 @@
         Vec::new()
     }
 
-    fn available(&self, placed: &Placed) -> Vec<PlacedServer> {
+    fn available(&self, placed: &ServersByReach) -> Vec<LocatedServer> {
         placed.all.iter().filter(|it| self.is_eligible(&it.known)).cloned().collect()
     }
 
     /// Whether a server accepts this call.
-    fn is_eligible(&self, known: &Known) -> bool {
+    fn is_eligible(&self, known: &KnownServer) -> bool {
         known.is_open()
             && self.release_choice.takes(&known.server.release)
             && !self.tried_servers.contains(&known.server.id)
@@ -184,7 +184,7 @@
         let prefill_work = PrefillWork {
             tokens: candidate.uncached,
             unshared_tokens: self.call.prompt_tokens().saturating_sub(shared),
-            is_queue_empty: chosen.known.unread() == 0 && !candidate.ejected,
+            is_queue_empty: chosen.known.queued_prompt_tokens() == 0 && !candidate.ejected,
         };
         let prefix_source = compared.prefix_sources[index].as_ref();
         let fetch = prefix_source.filter(|_| !self.has_read_prefix(&chosen.known));
@@ -197,18 +197,19 @@
     }
 
     /// Collects what is known about each server.
-    fn compare(&self, servers: Vec<PlacedServer>, homes: &PrefixHomes) -> Comparison {
+    fn compare(&self, servers: Vec<LocatedServer>, homes: &PrefixHomes) -> Comparison {
         let distances = self.distances(&servers);
         let placed = || servers.iter().zip(distances.iter().map(|distance| distance.time));
         let seen: Vec<_> = placed().filter(|(it, _)| self.has_read_prefix(&it.known)).collect();
         let prefix_source = |(it, time)| self.prefix_source(it, time, &seen, homes).cloned();
         let prefix_sources: Vec<_> = placed().map(prefix_source).collect();
-        let has_read_prefix = |it: &PlacedServer| seen.iter().any(|(at, _)| is_same_server(at, it));
+        let has_read_prefix =
+            |it: &LocatedServer| seen.iter().any(|(at, _)| is_same_server(at, it));
         let stays = servers.iter().filter_map(|it| it.known.state.service_time());
         let stays: Vec<_> = stays.collect();
         let stay = (!stays.is_empty()).then(|| stays.iter().sum::<f64>() / stays.len() as f64);
         let estimates: Vec<_> = servers.iter().map(|it| it.known.load_estimate()).collect();
-        let regions: Vec<_> = servers.iter().map(|it| it.region).collect();
+        let regions: Vec<_> = servers.iter().map(|it| it.region_index).collect();
         let others = others_by_region(&estimates, &regions, stay);
         let now = Instant::now();
         let room = self.have_room(&servers, &others);
@@ -224,7 +225,7 @@
                 requests: others[index] + f64::from(known.state.in_flight()),
                 slots: known.server.slots,
                 stay: stay.unwrap_or_default(),
-                unread: known.unread(),
+                unread: known.queued_prompt_tokens(),
                 uncached: self.call.prompt_tokens().saturating_sub(cached),
                 distance: distances[index],
                 full: any_room && !room[index],
@@ -237,25 +238,25 @@
 
     /// Which servers have KV cache memory left for the call. All of them, if the engines' memory
     /// size is unknown.
-    fn have_room(&self, open: &[PlacedServer], others: &[f64]) -> Vec<bool> {
+    fn have_room(&self, open: &[LocatedServer], others: &[f64]) -> Vec<bool> {
         let Some(spec) = &self.engine else {
             return vec![true; open.len()];
         };
         let filling = open.iter().zip(others).map(|(it, others)| Filling {
             own: it.known.state.in_flight(),
-            tokens: it.known.tokens(),
+            tokens: it.known.reserved_tokens(),
             others: *others,
         });
         have_room(spec.memory, &filling.collect::<Vec<_>>(), self.call.max_tokens())
     }
 
-    fn distances(&self, open: &[PlacedServer]) -> Vec<Distance> {
+    fn distances(&self, open: &[LocatedServer]) -> Vec<Distance> {
         let output = self.call.head.generation.map_or(0, |size| size.max_output_tokens);
         let kilobytes = kilobytes(self.call.body.len(), output);
         let weights = &self.relay.context.settings.weights;
         let learned = self.relay.distances();
         let now = Instant::now();
-        let distance = |it: &PlacedServer| Distance {
+        let distance = |it: &LocatedServer| Distance {
             time: learned.time(&it.known.server.data_centre, it.reach, now),
             weight: kilobytes * weights.of(it.reach),
         };
@@ -276,7 +277,7 @@
     }
 
     /// Whether this box recently had the call's shared prefix computed at the server.
-    fn has_read_prefix(&self, known: &Known) -> bool {
+    fn has_read_prefix(&self, known: &KnownServer) -> bool {
         let prefix = self.call.shared_prefix();
         prefix.is_some_and(|prefix| known.state.cached_blocks(&[prefix.id], CACHE_LIFETIME) > 0)
     }
@@ -288,19 +289,19 @@
     /// counts.
     fn prefix_source<'a>(
         &self,
-        server: &PlacedServer,
+        server: &LocatedServer,
         time: f64,
-        seen: &[(&'a PlacedServer, f64)],
+        seen: &[(&'a LocatedServer, f64)],
         homes: &'a PrefixHomes,
-    ) -> Option<&'a PlacedServer> {
+    ) -> Option<&'a LocatedServer> {
         let prefix =
             self.call.shared_prefix().filter(|prefix| prefix.tokens >= MIN_COPIED_TOKENS)?;
         let home = homes
-            .get(server.region)
+            .get(server.region_index)
             .and_then(Option::as_ref)
             .filter(|home| !is_same_server(home, server));
         let mut others = seen.iter().filter(|(other, _)| !is_same_server(other, server));
-        let near = others.clone().find(|(other, _)| other.region == server.region);
+        let near = others.clone().find(|(other, _)| other.region_index == server.region_index);
         let near = near.map(|(other, _)| *other).or(home);
         near.or_else(|| {
             let far = others.find(|(_, far)| self.is_copy_worthwhile(prefix, time.max(*far)));
@@ -325,9 +326,9 @@
 }
 
 /// Mean number of requests per available server in all regions; `None` if there is no such server.
-fn mean_requests(placed: &Placed) -> Option<f64> {
+fn mean_requests(placed: &ServersByReach) -> Option<f64> {
     let open = || placed.all.iter().filter(|it| it.known.is_open());
-    let requests = open().map(|it| f64::from(it.known.requests()));
+    let requests = open().map(|it| f64::from(it.known.estimated_requests()));
     let count = open().count();
     (count > 0).then(|| requests.sum::<f64>() / count as f64)
 }
@@ -336,21 +337,21 @@
 /// from there if that takes less time than computing it, so that it is computed once rather than
 /// once per region.
 fn primary_home<'a>(
-    server: &PlacedServer,
+    server: &LocatedServer,
     prefix: PromptSegment,
     homes: &'a PrefixHomes,
-) -> Option<&'a PlacedServer> {
+) -> Option<&'a LocatedServer> {
     let first = homes.iter().flatten().max_by_key(|home| affinity(prefix.id, home.known.hash));
     first.filter(|home| !is_same_server(home, server))
 }
 
-fn is_home(server: &PlacedServer, homes: &PrefixHomes) -> bool {
+fn is_home(server: &LocatedServer, homes: &PrefixHomes) -> bool {
     homes
-        .get(server.region)
+        .get(server.region_index)
         .and_then(Option::as_ref)
         .is_some_and(|home| is_same_server(home, server))
 }
 
-fn is_same_server(a: &PlacedServer, b: &PlacedServer) -> bool {
+fn is_same_server(a: &LocatedServer, b: &LocatedServer) -> bool {
     a.known.hash == b.known.hash
 }
--- a/src/relay/plain.rs
+++ b/src/relay/plain.rs
@@ -13,7 +13,7 @@
 use super::attempt::{CheckedReply, SendFailure, StartState, restart_fault, seconds_since, send};
 use super::attempts::CallAttempts;
 use super::call::Call;
-use super::known::Known;
+use super::known::KnownServer;
 use super::quarantine;
 use super::table::Route;
 use super::taking::UNCHARGED_BYTES;
@@ -150,8 +150,8 @@
     relay: &Relay,
     call: &Call,
     route: &Route,
-    known: Arc<Known>,
-) -> (Arc<Known>, SendResult) {
+    known: Arc<KnownServer>,
+) -> (Arc<KnownServer>, SendResult) {
     let result = send_and_read(relay, call, route, &known).await;
     if let Err(SendFailure::Unknown { kind: Kind::BackendBroke, .. }) = &result {
         relay.ends.record_break(&known, call.fingerprint());
@@ -163,9 +163,9 @@
     relay: &Relay,
     call: &Call,
     route: &Route,
-    known: &Arc<Known>,
+    known: &Arc<KnownServer>,
 ) -> SendResult {
-    let mut flight = known.begin(call.prompt_tokens(), call.max_tokens());
+    let mut flight = known.start_request(call.prompt_tokens(), call.max_tokens());
     let began = Instant::now();
     let limit = call.time_left();
     let result = tokio::time::timeout(limit, async {
@@ -179,9 +179,9 @@
             Ok(result) => result?,
             Err(_) => return Err(SendFailure::from_fault(SendFault::TimedOut)),
         },
-        () = flight.ended() => return Err(SendFailure::from_fault(restart_fault())),
+        () = flight.server_restarted() => return Err(SendFailure::from_fault(restart_fault())),
     };
-    flight.begun();
+    flight.mark_started();
     quarantine::record_success(relay, call);
     if !failed {
         let seconds = seconds_since(began);
@@ -190,7 +190,7 @@
             tokens: 1.0,
             unshared_tokens: 1.0,
             seconds,
-            is_clear: known.unread() == 0,
+            is_clear: known.queued_prompt_tokens() == 0,
         };
         relay.engines().note(&known.server.service, seen);
         known.state.succeed_route(&route.name);
--- a/src/relay/restraint.rs
+++ b/src/relay/restraint.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::Relay;
-use super::known::Known;
+use super::known::KnownServer;
 use crate::clock;
 use crate::decide::throttle::{ThrottleState, may_be_same_incarnation};
 use crate::ids::{BackendId, Incarnation, ServiceName};
@@ -25,32 +25,33 @@
         Self { limited, paused }
     }
 
-    fn limit_of(&self, known: &Known) -> Option<&ThrottleState> {
+    fn limit_of(&self, known: &KnownServer) -> Option<&ThrottleState> {
         let limit = self.limited.get(&known.server.id);
-        limit.filter(|limit| limit.applies_to(known.life()))
+        limit.filter(|limit| limit.applies_to(known.incarnation()))
     }
 
     /// Whether a server limits itself.
-    pub(super) fn is_limited(&self, known: &Known) -> bool {
+    pub(super) fn is_limited(&self, known: &KnownServer) -> bool {
         self.limit_of(known).is_some()
     }
 
     /// Whether a server may get a request of this box.
-    pub(super) fn allows(&self, known: &Known) -> bool {
+    pub(super) fn allows(&self, known: &KnownServer) -> bool {
         let life = self.paused.get(&known.server.id);
-        let is_paused = life.is_some_and(|life| may_be_same_incarnation(*life, known.life()));
+        let is_paused =
+            life.is_some_and(|life| may_be_same_incarnation(*life, known.incarnation()));
         !is_paused && self.limit_of(known).is_none_or(|limit| limit.is_open)
     }
 }
 
 /// Claims the place of one request at a server; whether there is one.
-pub(super) fn claim(relay: &Relay, known: &Known) -> bool {
+pub(super) fn claim(relay: &Relay, known: &KnownServer) -> bool {
     let mut throttles = relay.throttles();
     throttles.is_empty() || throttles.claim(&known.key(), clock::now())
 }
 
 /// The limit that a server named.
-pub(super) fn limit(relay: &Relay, known: &Known) -> Option<RequestRate> {
+pub(super) fn limit(relay: &Relay, known: &KnownServer) -> Option<RequestRate> {
     let mut throttles = relay.throttles();
     if throttles.is_empty() { None } else { throttles.limit(&known.key()) }
 }
--- a/src/relay/servers.rs
+++ b/src/relay/servers.rs
@@ -1,5 +1,5 @@
-//! The backend servers that a relay knows: its parts of the list as the leader passes them on, and what
-//! this box has seen of each server.
+//! The backend servers known to a box: the parts of the list that it holds, and the state it has
+//! observed of each server.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -8,13 +8,13 @@
 use arc_swap::ArcSwap;
 use tokio::sync::Notify;
 
+use super::by_reach::ServersByReach;
 use super::call::ServerReport;
-use super::known::{Known, LEAVE_TIME, end, update};
+use super::known::{DEFAULT_SHUTDOWN_DELAY, KnownServer, apply_listing, end_incarnation};
 use super::list::{
     ContentHash, IncarnationReport, ListIndex, ListPart, ListVersion, ListedServer, PartId,
 };
 use super::part_loads::{self, PartLoads};
-use super::placed::Placed;
 use crate::decide::lives::{
     IncarnationSource, IncarnationUpdate, RestartCheckQueue, ServerIncarnation,
 };
@@ -24,26 +24,28 @@
 use crate::sync::lock;
 use crate::units::{Millis, UnixMillis};
 
-/// Lives that one word to the leader tells at most: 2 KB. The others follow with the next words.
-const LIVES_TOLD: usize = 32;
+/// How many incarnations one report to the leader contains at most; 32 take 2 KB. The rest follow
+/// in later reports.
+const MAX_REPORTED_INCARNATIONS: usize = 32;
 
-/// Servers remembered beside those that are listed: one may be back within a few readings of the list.
-const GONE_LIMIT: usize = 1_024;
+/// How many servers that are no longer listed are remembered beyond the number of listed ones. A
+/// server may reappear within a few reads of the list.
+const UNLISTED_LIMIT: usize = 1_024;
 
-/// The servers of a service, in the order of their hashes.
-pub type Servers = Arc<Vec<Arc<Known>>>;
+/// The servers of a service, ordered by the hash of their id.
+pub type Servers = Arc<Vec<Arc<KnownServer>>>;
 
-/// The backend servers known, found by service and by id.
+/// An immutable snapshot of the known servers, indexed by service and by id.
 #[derive(Debug, Default)]
-struct KnownServers {
+struct ServerSnapshot {
     by_service: BTreeMap<ServiceName, Servers>,
-    placed: BTreeMap<ServiceName, Arc<Placed>>,
-    by_id: HashMap<BackendId, Arc<Known>>,
+    by_reach: BTreeMap<ServiceName, Arc<ServersByReach>>,
+    by_id: HashMap<BackendId, Arc<KnownServer>>,
 }
 
-impl KnownServers {
-    /// The servers of `by_id`, by service as well.
-    fn new(topology: Option<&Topology>, by_id: HashMap<BackendId, Arc<Known>>) -> Self {
+impl ServerSnapshot {
+    /// Builds the indexes by service from `by_id`.
+    fn new(topology: Option<&Topology>, by_id: HashMap<BackendId, Arc<KnownServer>>) -> Self {
         let mut servers: BTreeMap<ServiceName, Vec<_>> = BTreeMap::new();
         for known in by_id.values() {
             servers.entry(known.server.service.clone()).or_default().push(known.clone());
@@ -53,29 +55,29 @@
             (service, Arc::new(servers))
         });
         let by_service = ordered.collect();
-        let placed = place_all(topology, &by_service);
-        Self { by_service, placed, by_id }
+        let by_reach = group_by_reach(topology, &by_service);
+        Self { by_service, by_reach, by_id }
     }
 }
 
-fn place_all(
+fn group_by_reach(
     topology: Option<&Topology>,
     by_service: &BTreeMap<ServiceName, Servers>,
-) -> BTreeMap<ServiceName, Arc<Placed>> {
-    let place = |servers: &Servers| Arc::new(Placed::new(topology, servers));
+) -> BTreeMap<ServiceName, Arc<ServersByReach>> {
+    let place = |servers: &Servers| Arc::new(ServersByReach::new(topology, servers));
     by_service.iter().map(|(service, servers)| (service.clone(), place(servers))).collect()
 }
 
-/// How long the loads that an answer of the leader brought are the newest there are: three beats.
-const LOADS_TIME: Duration = Duration::from_millis(1_200);
+/// How long the loads in the leader's last answer are used to choose servers: three heartbeats.
+const RECENT_LOADS_MAX_AGE: Duration = Duration::from_millis(1_200);
 
-/// The servers whose loads the leader told, and when.
+/// The servers whose loads were in an answer of the leader, and when it arrived.
 #[derive(Debug)]
 struct RecentLoads {
     at: Instant,
-    /// Loads that the answer brought.
+    /// How many loads the answer contained.
     count: usize,
-    by_service: BTreeMap<ServiceName, Arc<Placed>>,
+    by_service: BTreeMap<ServiceName, Arc<ServersByReach>>,
 }
 
 impl Default for RecentLoads {
@@ -84,38 +86,38 @@
     }
 }
 
-/// The parts of the list that a box has, and those that it is to have.
+/// The parts of the list that a box holds, and the index of those it must hold.
 #[derive(Debug, Default)]
-struct Parts {
+struct HeldParts {
     index: Option<ListIndex>,
     held: BTreeMap<PartId, ListPart>,
-    /// Whether all parts of an index were held once.
+    /// Whether the box has ever held all parts of an index.
     complete: bool,
 }
 
-impl Parts {
-    fn has(&self, part: &PartId, print: ContentHash) -> bool {
-        self.held.get(part).is_some_and(|held| held.hash == print)
+impl HeldParts {
+    fn has(&self, part: &PartId, hash: ContentHash) -> bool {
+        self.held.get(part).is_some_and(|held| held.hash == hash)
     }
 
-    fn lacking(&self) -> impl Iterator<Item = &PartId> {
+    fn missing_parts(&self) -> impl Iterator<Item = &PartId> {
         let wanted = self.index.iter().flat_map(|index| &index.parts);
-        wanted.filter(|(part, print)| !self.has(part, *print)).map(|(part, _)| part)
+        wanted.filter(|(part, hash)| !self.has(part, *hash)).map(|(part, _)| part)
     }
 
-    /// Drops the parts that are no longer wanted, once all that are wanted are here: in between, the
-    /// servers of the former ones serve on.
-    fn settle(&mut self) {
+    /// Drops the parts that the index no longer names, but only once the box holds all that it
+    /// names. Until then the servers of the old parts stay in use.
+    fn drop_unwanted(&mut self) {
         let Some(index) = &self.index else {
             return;
         };
-        if self.lacking().next().is_none() {
+        if self.missing_parts().next().is_none() {
             self.held.retain(|part, _| index.parts.iter().any(|(wanted, _)| wanted == part));
             self.complete = true;
         }
     }
 
-    /// The servers of all parts; those of the parts that are wanted come last.
+    /// The servers of all held parts. Those of the parts in the index come last.
     fn listed(&self) -> impl Iterator<Item = ListedServer> {
         let wanted = |part: &PartId| {
             self.index.iter().flat_map(|index| &index.parts).any(|(wanted, _)| wanted == part)
@@ -125,98 +127,107 @@
     }
 }
 
-/// The backend servers known.
+/// The backend servers known to a box.
 #[derive(Debug, Default)]
 pub struct ServerTable {
-    /// How far servers are; where absent, none is farther than another.
+    /// The reach of each data centre. If `None`, all are equally far.
     topology: Option<Topology>,
-    listed: ArcSwap<KnownServers>,
-    told: ArcSwap<RecentLoads>,
-    parts: Mutex<Parts>,
-    /// The lives of the servers that are known, or were a while ago.
+    listed: ArcSwap<ServerSnapshot>,
+    recent_loads: ArcSwap<RecentLoads>,
+    parts: Mutex<HeldParts>,
+    /// The incarnations of the known servers and of some that were known before.
     lives: Mutex<HashMap<BackendId, ServerIncarnation>>,
-    /// The servers whose lives the leader's list does not show.
-    news: Mutex<BTreeSet<BackendId>>,
-    /// The servers that are no longer listed and had said that they leave: lists of other parts bring some back.
-    departed: Mutex<HashMap<BackendId, Arc<Known>>>,
+    /// The servers whose known incarnation is newer than the one in the leader's list.
+    unreported: Mutex<BTreeSet<BackendId>>,
+    /// Servers that announced their shutdown and are no longer listed. They can come back when the
+    /// box takes other parts of the list, which may lag behind the announcement.
+    departed: Mutex<HashMap<BackendId, Arc<KnownServer>>>,
     doubts: Mutex<RestartCheckQueue>,
-    /// RecentLoads of each doubt.
-    doubted: Notify,
+    /// Notified when a server is added to `doubts`.
+    suspected: Notify,
 }
 
 impl ServerTable {
-    /// The servers as they are seen by a box.
+    /// Creates an empty table for a box with this topology.
     pub fn new(topology: Topology) -> Self {
         Self { topology: Some(topology), ..Self::default() }
     }
 
-    /// The servers of a service, by how far they are.
-    pub fn placed(&self, service: &ServiceName) -> Arc<Placed> {
-        self.listed.load().placed.get(service).cloned().unwrap_or_default()
+    /// The servers of a service, grouped by reach.
+    pub fn by_reach(&self, service: &ServiceName) -> Arc<ServersByReach> {
+        self.listed.load().by_reach.get(service).cloned().unwrap_or_default()
     }
 
     /// The servers of a service.
-    pub fn of(&self, service: &ServiceName) -> Servers {
+    pub fn for_service(&self, service: &ServiceName) -> Servers {
         self.listed.load().by_service.get(service).cloned().unwrap_or_default()
     }
 
-    /// The servers of a service whose loads the leader's last answer brought; none where that is long ago.
-    pub fn loaded(&self, service: &ServiceName) -> Arc<Placed> {
-        let told = self.told.load();
-        match told.at.elapsed() < LOADS_TIME {
-            true => told.by_service.get(service).cloned().unwrap_or_default(),
+    /// The servers of a service whose loads were in the leader's last answer. Empty if the answer
+    /// is older than [`RECENT_LOADS_MAX_AGE`].
+    pub fn with_recent_loads(&self, service: &ServiceName) -> Arc<ServersByReach> {
+        let recent_loads = self.recent_loads.load();
+        match recent_loads.at.elapsed() < RECENT_LOADS_MAX_AGE {
+            true => recent_loads.by_service.get(service).cloned().unwrap_or_default(),
             false => Arc::default(),
         }
     }
 
-    /// A server, as it is known now.
-    pub fn find(&self, id: &BackendId) -> Option<Arc<Known>> {
+    /// The current state of a server.
+    pub fn find(&self, id: &BackendId) -> Option<Arc<KnownServer>> {
         self.listed.load().by_id.get(id).cloned()
     }
 
-    /// Takes the loads of servers that other boxes were told, by their places in the list.
-    pub fn apply_placed_loads(&self, loads: &[PartLoads]) {
-        let told = {
+    /// Applies loads that other boxes measured. Servers are identified by their index in a part of
+    /// the list.
+    pub fn apply_part_loads(&self, loads: &[PartLoads]) {
+        let samples = {
             let parts = self.parts();
-            part_loads::named(loads, |print, place| {
-                let held = parts.held.values().find(|part| part.hash == print)?;
-                held.key_at(place)
+            part_loads::to_load_samples(loads, |hash, index| {
+                let held = parts.held.values().find(|part| part.hash == hash)?;
+                held.key_at(index)
             })
         };
-        self.apply_loads(&told);
+        self.apply_loads(&samples);
     }
 
-    /// Takes the loads of servers that other boxes were told. One that was told by another life than the known
-    /// one says nothing of it.
+    /// Applies loads that other boxes measured. A load of another incarnation than the known one is
+    /// ignored.
     pub fn apply_loads(&self, loads: &[LoadSample]) {
         let listed = self.listed.load();
-        let mut told: BTreeMap<ServiceName, Vec<_>> = BTreeMap::new();
+        let mut by_service: BTreeMap<ServiceName, Vec<_>> = BTreeMap::new();
         for load in loads {
             let known = listed.by_id.get(&load.server);
             if let Some(known) = known.filter(|known| known.life.matches(load.life)) {
                 let requests = load.faded(known.state.service_time()).round() as u32;
                 known.state.report(requests, 0, Duration::ZERO);
-                told.entry(known.server.service.clone()).or_default().push(known.clone());
+                by_service.entry(known.server.service.clone()).or_default().push(known.clone());
             }
         }
-        let former = self.told.load();
-        if loads.len() < former.count && former.at.elapsed() < LOADS_TIME {
-            // An answer soon after another brings a few: they join those of that one.
+        let previous = self.recent_loads.load();
+        if loads.len() < previous.count && previous.at.elapsed() < RECENT_LOADS_MAX_AGE {
+            // An answer soon after a larger one contains only a few loads; it does not replace the
+            // recent loads.
             return;
         }
         let count = loads.len();
-        let place = |servers: Vec<_>| Arc::new(Placed::new(self.topology.as_ref(), &servers));
-        let by_service = told.into_iter().map(|(service, servers)| (service, place(servers)));
+        let place =
+            |servers: Vec<_>| Arc::new(ServersByReach::new(self.topology.as_ref(), &servers));
+        let by_service = by_service.into_iter().map(|(service, servers)| (service, place(servers)));
         let by_service = by_service.collect();
-        self.told.store(Arc::new(RecentLoads { at: Instant::now(), count, by_service }));
+        self.recent_loads.store(Arc::new(RecentLoads { at: Instant::now(), count, by_service }));
     }
 
-    /// Takes a server's own word of the life that it is in, as it answered where `asked` has it.
+    /// Applies the incarnation that a server reported at the address in `asked`.
     ///
-    /// Where it has started again, nothing that was known of it holds: it is open, and what runs in the
-    /// earlier life is over.
-    pub fn apply_incarnation(&self, asked: &Known, told: Incarnation) -> IncarnationUpdate {
-        // No two words change the servers at the same time.
+    /// If the server has restarted, its state is reset: it accepts requests again, and the requests
+    /// sent to its earlier incarnation are ended.
+    pub fn apply_incarnation(
+        &self,
+        asked: &KnownServer,
+        reported: Incarnation,
+    ) -> IncarnationUpdate {
+        // The lock makes changes to the servers exclusive.
         let _parts = self.parts();
         let id = &asked.server.id;
         let known = self.find(id).filter(|known| known.server.addr == asked.server.addr);
@@ -224,33 +235,34 @@
             return IncarnationUpdate::Outdated;
         };
         let mut life = known.life;
-        let heard = life.update(told, IncarnationSource::Server, UnixMillis::now());
+        let heard = life.update(reported, IncarnationSource::Server, UnixMillis::now());
         if life == known.life {
             return heard;
         }
         let renewed = match heard {
-            IncarnationUpdate::Restarted => Known::fresh(known.server.clone(), life),
+            IncarnationUpdate::Restarted => KnownServer::new(known.server.clone(), life),
             IncarnationUpdate::Identified
             | IncarnationUpdate::Unchanged
             | IncarnationUpdate::Outdated
-            | IncarnationUpdate::Rejected => known.with(known.server.clone(), life),
+            | IncarnationUpdate::Rejected => known.with_listing(known.server.clone(), life),
         };
         let mut by_id = self.listed.load().by_id.clone();
         by_id.insert(id.clone(), Arc::new(renewed));
-        self.listed.store(Arc::new(KnownServers::new(self.topology.as_ref(), by_id)));
+        self.listed.store(Arc::new(ServerSnapshot::new(self.topology.as_ref(), by_id)));
         lock(&self.lives).insert(id.clone(), life);
         if matches!(heard, IncarnationUpdate::Identified | IncarnationUpdate::Restarted) {
-            lock(&self.news).insert(id.clone());
+            lock(&self.unreported).insert(id.clone());
         }
         if heard == IncarnationUpdate::Restarted {
-            end(&known, &life);
-            self.told.store(Arc::default());
+            end_incarnation(&known, &life);
+            self.recent_loads.store(Arc::default());
         }
         heard
     }
 
-    /// Takes a server's report on itself, which it was asked for when `asked` was what was known of it.
-    pub fn apply_report(&self, asked: &Known, report: &ServerReport) -> IncarnationUpdate {
+    /// Applies a server's report on itself. `asked` is what was known of the server when the
+    /// request for the report was sent.
+    pub fn apply_report(&self, asked: &KnownServer, report: &ServerReport) -> IncarnationUpdate {
         let id = &asked.server.id;
         let heard = self.apply_incarnation(asked, report.incarnation);
         match report.incarnation.is_none() {
@@ -260,10 +272,10 @@
         let Some(known) = self.find(id) else {
             return heard;
         };
-        // A report that names no life is of the one that was asked.
+        // A report without an incarnation belongs to the one that was asked.
         let is_own = match report.incarnation.is_none() {
             true => Arc::ptr_eq(&known.state, &asked.state),
-            false => known.life() == report.incarnation,
+            false => known.incarnation() == report.incarnation,
         };
         if !is_own {
             return heard;
@@ -272,10 +284,12 @@
             known.state.report(load.running, load.waiting, Duration::ZERO);
         }
         match report.leaving {
-            Some(true) if known.leave(report.time_left.unwrap_or(LEAVE_TIME)) => {
+            Some(true)
+                if known.mark_leaving(report.time_left.unwrap_or(DEFAULT_SHUTDOWN_DELAY)) =>
+            {
                 tracing::info!(event = "backend_servers_leaving", count = 1, servers = %id);
             }
-            // Its own word counts against an earlier notice only where the list agrees with it.
+            // A server that says it stays overrides an earlier notice only if the list agrees.
             Some(false) if !known.server.leaving && known.state.stay() => {
                 tracing::info!(event = "backend_server_stays", backend_server = %id);
             }
@@ -284,24 +298,24 @@
         heard
     }
 
-    /// Notes that something makes doubt whether a server is in the life that is known.
-    pub fn doubt(&self, known: &Known) {
+    /// Marks a server as possibly restarted, so that it is asked for a report.
+    pub fn mark_suspect(&self, known: &KnownServer) {
         if known.state.is_over() {
             return;
         }
         let random = rand::random();
         if lock(&self.doubts).request(&known.server.id, Instant::now(), random) {
-            self.doubted.notify_one();
+            self.suspected.notify_one();
         }
     }
 
-    /// Whether servers are to be asked for a report, now or later.
-    pub fn has_doubts(&self) -> bool {
+    /// Whether any server is due for a report, now or later.
+    pub fn has_suspects(&self) -> bool {
         lock(&self.doubts).next_due().is_some()
     }
 
-    /// The servers to ask for a report now; waits until there is one.
-    pub(super) async fn doubtful(&self) -> Vec<Arc<Known>> {
+    /// The servers to ask for a report now. Waits until there is one.
+    pub(super) async fn next_suspects(&self) -> Vec<Arc<KnownServer>> {
         loop {
             let (due, next) = {
                 let mut doubts = lock(&self.doubts);
@@ -311,127 +325,129 @@
             if !due.is_empty() {
                 return due;
             }
-            let doubted = self.doubted.notified();
+            let suspected = self.suspected.notified();
             match next {
-                Some(next) => drop(tokio::time::timeout_at(next.into(), doubted).await),
-                None => doubted.await,
+                Some(next) => drop(tokio::time::timeout_at(next.into(), suspected).await),
+                None => suspected.await,
             }
         }
     }
 
-    /// Lives that this box knows and the leader's list does not show, [`LIVES_TOLD`] at most.
+    /// Incarnations newer than those in the leader's list, at most [`MAX_REPORTED_INCARNATIONS`].
     pub fn unreported_incarnations(&self) -> Vec<IncarnationReport> {
-        let news = lock(&self.news);
-        let known = news.iter().filter_map(|id| self.find(id));
+        let unreported = lock(&self.unreported);
+        let known = unreported.iter().filter_map(|id| self.find(id));
         let lives =
             known.map(|known| IncarnationReport { server: known.key(), addr: known.server.addr });
-        lives.take(LIVES_TOLD).collect()
+        lives.take(MAX_REPORTED_INCARNATIONS).collect()
     }
 
-    fn parts(&self) -> MutexGuard<'_, Parts> {
+    fn parts(&self) -> MutexGuard<'_, HeldParts> {
         lock(&self.parts)
     }
 
-    /// Which list the box was told of last.
+    /// The list version of the box's index.
     pub fn version(&self) -> ListVersion {
         self.parts().index.as_ref().map(|index| index.version).unwrap_or_default()
     }
 
-    /// The print of the index that the box has.
-    pub fn index_print(&self) -> Option<ContentHash> {
+    /// The hash of the box's index.
+    pub fn index_hash(&self) -> Option<ContentHash> {
         self.parts().index.as_ref().map(|index| index.hash)
     }
 
-    /// Whether all servers that the box is to know were known once.
+    /// Whether the box has ever held all the parts it must hold.
     pub fn is_complete(&self) -> bool {
         self.parts().complete
     }
 
-    /// The parts that the box is to have and has not, or not as they are now.
-    pub fn lacking(&self) -> Vec<PartId> {
-        self.parts().lacking().cloned().collect()
+    /// The parts in the index that the box does not hold, or holds with different content.
+    pub fn missing_parts(&self) -> Vec<PartId> {
+        self.parts().missing_parts().cloned().collect()
     }
 
-    /// Takes the leader's word of which parts this box is to have; that of an older list is passed over.
+    /// Applies an index from the leader. An index of an older list version is ignored.
     pub fn apply_index(&self, index: ListIndex) {
         let mut parts = self.parts();
         if parts.index.as_ref().is_some_and(|held| held.version > index.version) {
             return;
         }
         parts.index = Some(index);
-        parts.settle();
+        parts.drop_unwanted();
         self.rebuild(&parts);
     }
 
-    /// Takes parts of the list; the servers that are first seen leaving. A life once seen leaving leaves
-    /// for good, unless the server itself says that it stays.
-    pub fn apply_parts(&self, news: Vec<ListPart>) -> Vec<BackendId> {
+    /// Applies parts of the list. Returns the servers that are newly marked as leaving. An
+    /// incarnation once marked stays so, unless the server itself says that it stays.
+    pub fn apply_parts(&self, changed: Vec<ListPart>) -> Vec<BackendId> {
         let mut parts = self.parts();
-        for part in news {
+        for part in changed {
             if let Some(index) = &mut parts.index {
                 index.update_part_hash(&part.id, part.hash);
             }
             parts.held.insert(part.id.clone(), part);
         }
-        parts.settle();
+        parts.drop_unwanted();
         self.rebuild(&parts)
     }
 
-    /// Finds the servers of all parts anew; those that are first seen leaving.
-    fn rebuild(&self, parts: &Parts) -> Vec<BackendId> {
+    /// Rebuilds the snapshot from all held parts. Returns the servers that are newly marked as
+    /// leaving.
+    fn rebuild(&self, parts: &HeldParts) -> Vec<BackendId> {
         let held = self.listed.load();
         let (mut by_id, mut leaving) = (HashMap::new(), Vec::new());
-        let (mut lives, mut news) = (lock(&self.lives), BTreeSet::new());
+        let (mut lives, mut unreported) = (lock(&self.lives), BTreeSet::new());
         let mut departed = lock(&self.departed);
-        // Where parts of before and after a split are held, a server may stand in both: the wanted part's
-        // entry counts.
+        // While the parts from before and after a change of the prefix length are both held, a
+        // server may be in two of them. The entry of the part in the index wins.
         let all: HashMap<_, _> = parts.listed().map(|it| (it.server.id.clone(), it)).collect();
         for (id, listed) in all {
             let before = by_id.get(&id).or(held.by_id.get(&id));
             let life = lives.get(&id).copied();
-            let known = update(before.or(departed.get(&id)), life, &listed);
+            let known = apply_listing(before.or(departed.get(&id)), life, &listed);
             if before.is_some_and(|it| it.state.is_over()) {
-                // What the leader told last may be of the former life.
-                self.told.store(Arc::default());
+                // The recent loads may be those of the earlier incarnation.
+                self.recent_loads.store(Arc::default());
             }
-            // What nobody has named, or what the list names alike, gives no reason to ask.
+            // A returning server is not asked if its incarnation was never known, or is the one in
+            // the list.
             let is_back = before.is_none()
                 && life.is_some_and(|it| !it.id().is_none() && it.id() != listed.incarnation);
             if is_back || before.is_some_and(|it| it.server.addr != known.server.addr) {
-                self.doubt(&known);
+                self.mark_suspect(&known);
             }
             if listed.server.leaving && known.life.matches(listed.incarnation) {
-                let left = listed.server.leaves_in.map_or(LEAVE_TIME, Millis::duration);
-                if known.leave(left) {
+                let left = listed.server.leaves_in.map_or(DEFAULT_SHUTDOWN_DELAY, Millis::duration);
+                if known.mark_leaving(left) {
                     leaving.push(id.clone());
                 }
             } else if !listed.server.leaving && !known.is_open() {
-                self.doubt(&known);
+                self.mark_suspect(&known);
             }
-            if before.is_some_and(|it| it.life() < known.life()) {
+            if before.is_some_and(|it| it.incarnation() < known.incarnation()) {
                 lock(&self.doubts).resolve(&id);
             }
-            match known.life() > listed.incarnation {
-                true => news.insert(id.clone()),
-                false => news.remove(&id),
+            match known.incarnation() > listed.incarnation {
+                true => unreported.insert(id.clone()),
+                false => unreported.remove(&id),
             };
             lives.insert(id.clone(), known.life);
             by_id.insert(id, known);
         }
-        if lives.len() > 2 * by_id.len() + GONE_LIMIT {
+        if lives.len() > 2 * by_id.len() + UNLISTED_LIMIT {
             lives.retain(|id, _| by_id.contains_key(id));
         }
         departed.retain(|id, _| !by_id.contains_key(id));
         let gone =
             held.by_id.iter().filter(|(id, it)| it.state.departs() && !by_id.contains_key(*id));
         departed.extend(gone.map(|(id, known)| (id.clone(), known.clone())));
-        if departed.len() > GONE_LIMIT {
+        if departed.len() > UNLISTED_LIMIT {
             departed.clear();
         }
         drop(departed);
         lock(&self.doubts).retain(|id| by_id.contains_key(id));
-        *lock(&self.news) = news;
-        self.listed.store(Arc::new(KnownServers::new(self.topology.as_ref(), by_id)));
+        *lock(&self.unreported) = unreported;
+        self.listed.store(Arc::new(ServerSnapshot::new(self.topology.as_ref(), by_id)));
         leaving
     }
 }
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -16,7 +16,7 @@
 use super::call::Call;
 use super::events::{EventCutter, event_id};
 use super::keeping::Kept;
-use super::known::{Flight, Known};
+use super::known::{InFlightRequest, KnownServer};
 use super::moving::{self, MoveOutcome, move_stream};
 use super::plain::{read_whole, strip_hop_by_hop_headers};
 use super::quarantine;
@@ -65,7 +65,7 @@
     exchange: Exchange,
     cutter: EventCutter,
     /// The request in flight to the server.
-    pub(super) flight: Flight,
+    pub(super) flight: InFlightRequest,
     /// When the request was sent to the server.
     pub(super) sent_at: Instant,
 }
@@ -201,11 +201,11 @@
     relay: &Relay,
     call: &Call,
     route: &Route,
-    known: &Arc<Known>,
+    known: &Arc<KnownServer>,
     start: StartState<'_>,
 ) -> Result<StartOutcome, SendFailure> {
     let limit = call.time_left();
-    let flight = known.begin(call.prompt_tokens(), call.max_tokens());
+    let flight = known.start_request(call.prompt_tokens(), call.max_tokens());
     let mut end_signal = known.state.follow_end();
     let began = Instant::now();
     let opening = async {
@@ -218,7 +218,7 @@
         let mut source =
             EventSource { exchange, cutter: EventCutter::default(), flight, sent_at: began };
         let first_event = read_first_event(&mut source, limit).await?;
-        source.flight.begun();
+        source.flight.mark_started();
         let status = source.exchange.status;
         let mut headers = source.exchange.headers.clone();
         strip_hop_by_hop_headers(&mut headers);
@@ -367,7 +367,7 @@
     let events = stream! {
         yield Ok::<_, io::Error>(first_event);
         let mut limit = silence_limit(&route, &call);
-        let mut leave_signal = Some(source.flight.known().state.follow_leaving());
+        let mut leave_signal = Some(source.flight.server().state.follow_leaving());
         loop {
             let step = tokio::select! {
                 leaving = moving::wait_until_leaving(&mut leave_signal) => Err(leaving),
@@ -384,7 +384,7 @@
                     match move_stream(&relay, &call, &route, &attempts, &mut source, &mut progress).await {
                         MoveOutcome::Moved(ready, moved) => {
                             source = *moved;
-                            leave_signal = Some(source.flight.known().state.follow_leaving());
+                            leave_signal = Some(source.flight.server().state.follow_leaving());
                             yield Ok(ready);
                             continue;
                         }
@@ -411,7 +411,7 @@
                     continue;
                 }
                 Ok(None) => {
-                    let known = source.flight.known();
+                    let known = source.flight.server();
                     record_end(&call, &route, known, &progress);
                     quarantine::record_success(&relay, &call);
                     relay.engines().record_served(attempts.service(), progress.is_late(&route));
@@ -482,7 +482,7 @@
     let received = tokio::select! {
         biased;
         received = source.exchange.next(silence) => received?,
-        () = source.flight.ended() => return Err(restart_fault()),
+        () = source.flight.server_restarted() => return Err(restart_fault()),
     };
     match received {
         Some(piece) => {
@@ -498,7 +498,7 @@
 
 /// Logs a stream that ended normally: always if it was late, otherwise within the log's volume
 /// limit.
-fn record_end(call: &Call, route: &Route, known: &Known, progress: &StreamProgress) {
+fn record_end(call: &Call, route: &Route, known: &KnownServer, progress: &StreamProgress) {
     let late = progress.is_late(route);
     if late || volume::allows_ordinary() {
         tracing::info!(
@@ -517,7 +517,7 @@
     progress: &StreamProgress,
     fault: &SendFault,
 ) {
-    let known = source.flight.known();
+    let known = source.flight.server();
     record_fault(relay, known, *fault == SendFault::TimedOut);
     if matches!(fault, SendFault::Broke(_)) {
         relay.ends.record_break(known, call.fingerprint());
@@ -538,7 +538,7 @@
     route: &Route,
     attempts: &mut CallAttempts,
     progress: &mut StreamProgress,
-    known: Arc<Known>,
+    known: Arc<KnownServer>,
 ) -> Option<(Bytes, EventSource)> {
     let mut known = known;
     loop {
--- a/src/telemetry/gauges.rs
+++ b/src/telemetry/gauges.rs
@@ -181,7 +181,7 @@
             return;
         };
         for service in table.services.keys() {
-            let servers = relay.servers.of(service);
+            let servers = relay.servers.for_service(service);
             let service = KeyValue::new("service", service.to_string());
             let count = |state: &'static str, value: usize| {
                 let labels = [service.clone(), KeyValue::new("state", state)];
--- a/tests/control_bytes.rs
+++ b/tests/control_bytes.rs
@@ -24,7 +24,7 @@
 use emberturn::relay::list::{
     ContentHash, ListIndex, ListPart, ListVersion, ListedServer, PartId, Server,
 };
-use emberturn::relay::part_loads::{PartLoads, PlacedLoad, named, placed};
+use emberturn::relay::part_loads::{IndexedLoad, PartLoads, to_load_samples, to_part_loads};
 use emberturn::units::{Millis, RequestRate};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -86,8 +86,8 @@
 
 /// Loads of servers of as many parts as they lie in.
 fn part_loads(fleet: &Fleet, count: u64) -> Vec<PartLoads> {
-    let load = |place: u64| PlacedLoad {
-        place: place as u32,
+    let load = |place: u64| IndexedLoad {
+        index: place as u32,
         requests: (place % 12) as u32,
         age: Millis(place * 37 % 4_000),
     };
@@ -330,16 +330,16 @@
             age: Millis(place),
         })
         .into();
-    let sent = placed(&drawn, &parts);
+    let sent = to_part_loads(&drawn, &parts);
     let find = |print: ContentHash, place: usize| {
         let id = parts[print.0 as usize].1.get(place).copied().cloned()?;
         Some(ServerKey { id, life: LIFE })
     };
-    assert_eq!(named(&sent, find), drawn);
+    assert_eq!(to_load_samples(&sent, find), drawn);
     let lacking =
         |print: ContentHash, place| find(print, place).filter(|_| print != ContentHash(0));
     let known: Vec<_> = drawn.iter().filter(|load| load.age.0 >= 3).cloned().collect();
-    assert_eq!(named(&sent, lacking), known);
+    assert_eq!(to_load_samples(&sent, lacking), known);
 }
 
 /// While nothing is held, a word carries the mark of the last answer, and an answer says that there is no news.
--- a/tests/distance_relay.rs
+++ b/tests/distance_relay.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use emberturn::relay::attempts::CallAttempts;
 use emberturn::relay::call::{Call, CallHead, GenerationSize, PromptSegment};
-use emberturn::relay::known::{Flight, Known};
+use emberturn::relay::known::{InFlightRequest, KnownServer};
 use emberturn::relay::list::Server;
 use emberturn::relay::table::Route;
 use hyper::{HeaderMap, Method};
@@ -65,17 +65,17 @@
 }
 
 /// The server for a call, and whether it copies the shared part.
-fn chosen(relay: &TestRelay, part: Option<u64>) -> (Arc<Known>, bool) {
+fn chosen(relay: &TestRelay, part: Option<u64>) -> (Arc<KnownServer>, bool) {
     let mut course = CallAttempts::new("svc".parse().unwrap());
     let known = course.next_server(&relay.relay, &call(part), &stream_route(relay)).unwrap();
     (known, course.prefix_source().is_some())
 }
 
 /// Takes all places of the servers in data centres.
-fn fill(relay: &TestRelay, names: &[&str]) -> Vec<Flight> {
-    let servers = relay.relay.servers.of(&"svc".parse().unwrap());
+fn fill(relay: &TestRelay, names: &[&str]) -> Vec<InFlightRequest> {
+    let servers = relay.relay.servers.for_service(&"svc".parse().unwrap());
     let there = servers.iter().filter(|it| names.contains(&it.server.data_centre.as_str()));
-    there.flat_map(|known| (0..20).map(|_| known.begin(0, 0))).collect()
+    there.flat_map(|known| (0..20).map(|_| known.start_request(0, 0))).collect()
 }
 
 /// Where 60 calls go.
@@ -133,7 +133,7 @@
 async fn run_is_moved_inside_its_region_while_there_is_a_place() {
     let relay = relay_of_two_regions().await;
     relay.list_as(servers(&["here", "near", "far"], 4));
-    let all = relay.relay.servers.of(&"svc".parse().unwrap());
+    let all = relay.relay.servers.for_service(&"svc".parse().unwrap());
     let course = CallAttempts::new("svc".parse().unwrap());
     let from = |name: &str| {
         let source = all.iter().find(|it| it.server.data_centre.as_str() == name).unwrap();
--- a/tests/pressure.rs
+++ b/tests/pressure.rs
@@ -281,7 +281,7 @@
 }
 
 fn in_flight(relay: &TestRelay) -> u32 {
-    let servers = relay.relay.servers.of(&"svc".parse().unwrap());
+    let servers = relay.relay.servers.for_service(&"svc".parse().unwrap());
     servers.iter().map(|known| known.state.in_flight()).sum()
 }
 
--- a/tests/relay.rs
+++ b/tests/relay.rs
@@ -222,7 +222,7 @@
     let headers = "Api-Key: key-a\r\nToken-Usage: 5000,10\r\nPrompt-Prefix: aa:4000,bb:1000\r\n";
     assert_eq!(relay.ask_with("POST", "stream", headers).await.status, 200);
     relay.list(&[&first, &second]);
-    let known = relay.relay.servers.of(&"svc".parse().unwrap());
+    let known = relay.relay.servers.for_service(&"svc".parse().unwrap());
     let busy = known.iter().find(|known| known.server.id.as_str() == "i-1").unwrap();
     // The engine that caches the prefix is overloaded, so the other one is chosen.
     busy.state.report(50, 50, Duration::ZERO);
--- a/tests/server_leaves.rs
+++ b/tests/server_leaves.rs
@@ -38,7 +38,7 @@
 async fn report_that_says_less_does_not_bring_a_leaving_server_back() {
     let (relay, mut leaving, other) = start().await;
     relay.list(&[&leaving, &other]);
-    relay.relay.servers.doubt(&relay.known("i-leaving"));
+    relay.relay.servers.mark_suspect(&relay.known("i-leaving"));
     leaving.wait_reports(1).await;
     relay.wait_life("i-leaving", 5).await;
     assert_left(&relay, &leaving).await;
--- a/tests/server_list.rs
+++ b/tests/server_list.rs
@@ -58,7 +58,7 @@
 fn known(book: &ServerTable) -> Vec<(BackendId, bool)> {
     let services = (0..3).map(|place| format!("svc-{place}").parse().unwrap());
     let mut known: Vec<_> = services
-        .flat_map(|service| book.of(&service).to_vec())
+        .flat_map(|service| book.for_service(&service).to_vec())
         .map(|known| (known.server.id.clone(), known.is_open()))
         .collect();
     known.sort_unstable();
@@ -75,7 +75,7 @@
     book: &ServerTable,
     count: usize,
 ) -> Result<BTreeMap<DataCentre, usize>, TestCaseError> {
-    let held = book.of(&"ember-assist".parse().unwrap());
+    let held = book.for_service(&"ember-assist".parse().unwrap());
     let bounds = count.min(SUBSET / 2)..=count.min(2 * SUBSET);
     prop_assert!(bounds.contains(&held.len()), "{}", held.len());
     if count <= SUBSET {
@@ -96,13 +96,13 @@
 
 /// As [`follow`], with an index that the leader gave.
 fn take(book: &ServerTable, leader: &mut ListRegistry, index: &ListIndex) -> Vec<usize> {
-    if book.index_print() == Some(index.hash) && book.lacking().is_empty() {
+    if book.index_hash() == Some(index.hash) && book.missing_parts().is_empty() {
         return Vec::new();
     }
     let mut bytes = vec![serde_json::to_string(&Packed(index)).unwrap().len()];
     book.apply_index(index.clone());
     loop {
-        let lacking = book.lacking();
+        let lacking = book.missing_parts();
         if lacking.is_empty() {
             return bytes;
         }
@@ -213,7 +213,7 @@
     leader.apply_listing(Term(1), servers(&next), Instant::now()).unwrap();
     book.apply_index(ListIndex::clone(&leader.index(&box_id(1))));
     // One is leaving, one is gone and one has come, in three parts at most.
-    assert!((1..=3).contains(&book.lacking().len()), "{:?}", book.lacking());
+    assert!((1..=3).contains(&book.missing_parts().len()), "{:?}", book.missing_parts());
 }
 
 #[test]
@@ -263,7 +263,7 @@
     follow(&book, &mut leader, &box_id(1));
     leader.apply_listing(Term(1), servers(&all(true)), Instant::now());
     book.apply_index(ListIndex::clone(&leader.index(&box_id(1))));
-    let news = leader.list_parts(&book.lacking(), Instant::now());
+    let news = leader.list_parts(&book.missing_parts(), Instant::now());
     assert_eq!(book.apply_parts(news.clone()).len(), 19);
     assert!(book.apply_parts(news).is_empty());
 }
@@ -291,9 +291,9 @@
         ids(&book),
         servers(&[(0, false)]).iter().map(|it| it.id.clone()).collect::<Vec<_>>()
     );
-    book.apply_parts(leader.list_parts(&book.lacking()[..1], Instant::now()));
+    book.apply_parts(leader.list_parts(&book.missing_parts()[..1], Instant::now()));
     assert_eq!(ids(&book).len(), 2);
-    book.apply_parts(leader.list_parts(&book.lacking(), Instant::now()));
+    book.apply_parts(leader.list_parts(&book.missing_parts(), Instant::now()));
     assert_eq!(
         ids(&book),
         servers(&[(1, false), (2, false)]).iter().map(|it| it.id.clone()).collect::<Vec<_>>()
--- a/tests/server_lives.rs
+++ b/tests/server_lives.rs
@@ -14,7 +14,7 @@
 use emberturn::decide::loads::{LoadPool, LoadSample};
 use emberturn::ids::{BackendId, Incarnation, ServerKey, ServiceName, Term};
 use emberturn::relay::call::{ServerLoad, ServerReport};
-use emberturn::relay::known::Known;
+use emberturn::relay::known::KnownServer;
 use emberturn::relay::list::{
     ContentHash, IncarnationReport, ListIndex, ListPart, ListVersion, ListedServer, Server,
 };
@@ -74,7 +74,7 @@
     book.apply_parts(vec![ListPart::new(id, print, &listed, Millis(0))]);
 }
 
-fn known(book: &ServerTable) -> Arc<Known> {
+fn known(book: &ServerTable) -> Arc<KnownServer> {
     book.find(&server(false).id).unwrap()
 }
 
@@ -108,7 +108,7 @@
 /// A box that has known a server in one life, `life`, which it was told by itself.
 struct Hearer {
     book: ServerTable,
-    first: Arc<Known>,
+    first: Arc<KnownServer>,
     place: u64,
 }
 
@@ -133,9 +133,9 @@
                 let (server, age) = (server(false).id, Millis(0));
                 self.book.apply_loads(&[LoadSample { server, life, requests, age }]);
             }
-            Word::Failed if life == self.first.life() => {
+            Word::Failed if life == self.first.incarnation() => {
                 while !self.first.state.fail() {}
-                self.first.leave_at_once();
+                self.first.mark_gone();
                 self.first.state.fail_route("r");
                 self.first.state.report(7, 0, Duration::ZERO);
             }
@@ -148,7 +148,7 @@
         let known = known(&self.book);
         let load = known.state.load().map(|load| load.running);
         let avoided = known.state.is_avoided("r", Instant::now());
-        (known.life(), known.is_open(), known.state.is_ejected(), avoided, load)
+        (known.incarnation(), known.is_open(), known.state.is_ejected(), avoided, load)
     }
 }
 
@@ -420,13 +420,13 @@
 fn leaders_last_loads_name_no_life_that_is_over() {
     let mut hearer = Hearer::new(former());
     let (load, service) = (Word::Load(3), "svc".parse().unwrap());
-    hearer.hear(hearer.first.life(), load);
-    assert_eq!(hearer.book.loaded(&service).all.len(), 1);
+    hearer.hear(hearer.first.incarnation(), load);
+    assert_eq!(hearer.book.with_recent_loads(&service).all.len(), 1);
     hearer.hear(later(), Word::List(false));
-    assert!(hearer.book.loaded(&service).all.is_empty());
+    assert!(hearer.book.with_recent_loads(&service).all.is_empty());
     hearer.hear(hearer.sees().0, load);
     hearer.book.apply_incarnation(&known(&hearer.book), Incarnation(later().0 + 5_000));
-    assert!(hearer.book.loaded(&service).all.is_empty());
+    assert!(hearer.book.with_recent_loads(&service).all.is_empty());
 }
 
 fn listed(server: &StandIn, leaving: bool) -> Server {
@@ -447,7 +447,7 @@
     let addr = first.kill().await;
     let again = StandIn::start_at("i-1", addr, Tells::Life(later), &[Act::Answer]).await;
     // What a connection that breaks, or is refused, does.
-    relay.relay.servers.doubt(&before);
+    relay.relay.servers.mark_suspect(&before);
     let after = relay.wait_life("i-1", later).await;
     assert!(after.is_open() && !after.state.is_ejected());
     assert_eq!(relay.ask("POST", "once").await.status, 200);
@@ -460,7 +460,7 @@
     let any = "127.0.0.1:0".parse().unwrap();
     let mut first = StandIn::start_at("i-1", any, Tells::Life(earlier), &[Act::Silent]).await;
     let relay = TestRelay::start(&[&first]).await;
-    relay.relay.servers.doubt(&relay.known("i-1"));
+    relay.relay.servers.mark_suspect(&relay.known("i-1"));
     relay.wait_life("i-1", earlier).await;
     let asking = relay.ask("POST", "once");
     let killing = async {
@@ -604,7 +604,7 @@
     assert_eq!(one.sees(), other.sees());
     assert_eq!(one.sees(), (later, true, false, false, Some(3)));
     let service: ServiceName = "svc".parse().unwrap();
-    assert_eq!(one.book.of(&service)[0].life(), later);
+    assert_eq!(one.book.for_service(&service)[0].incarnation(), later);
 }
 
 /// Has a box take a list without any server.
@@ -625,6 +625,6 @@
         }
         take_none(&book, 2);
         take(&book, 3, server(false), listed);
-        assert_eq!(book.has_doubts(), asks, "listed as {listed}, named {named}");
+        assert_eq!(book.has_suspects(), asks, "listed as {listed}, named {named}");
     }
 }
--- a/tests/support/platform.rs
+++ b/tests/support/platform.rs
@@ -11,7 +11,7 @@
 use emberturn::decide::allowance::Grant;
 use emberturn::ids::{Incarnation, ServerKey, Term};
 use emberturn::platform::{PlatformDialect, document};
-use emberturn::relay::known::Known;
+use emberturn::relay::known::KnownServer;
 use emberturn::relay::list::{IncarnationReport, ListIndex, Server};
 use emberturn::relay::list_registry::ListRegistry;
 use emberturn::relay::listen::Listeners;
@@ -207,8 +207,9 @@
         leader.apply_listing(Term(1), servers, Instant::now());
         let index = leader.index(&box_id);
         self.relay.apply_index(ListIndex::clone(&index));
-        self.relay.apply_parts(leader.list_parts(&self.relay.servers.lacking(), Instant::now()));
-        assert!(self.relay.servers.lacking().is_empty());
+        self.relay
+            .apply_parts(leader.list_parts(&self.relay.servers.missing_parts(), Instant::now()));
+        assert!(self.relay.servers.missing_parts().is_empty());
     }
 
     /// Has the leader hear a box's word of the life of a server, which goes out with the next list.
@@ -219,14 +220,14 @@
     }
 
     /// What the relay knows of a server.
-    pub fn known(&self, id: &str) -> Arc<Known> {
+    pub fn known(&self, id: &str) -> Arc<KnownServer> {
         self.relay.servers.find(&id.parse().unwrap()).unwrap()
     }
 
     /// Waits until the relay knows a server in a life.
-    pub async fn wait_life(&self, id: &str, life: u64) -> Arc<Known> {
+    pub async fn wait_life(&self, id: &str, life: u64) -> Arc<KnownServer> {
         let waiting = async {
-            while self.known(id).life() != Incarnation(life) {
+            while self.known(id).incarnation() != Incarnation(life) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
@@ -236,7 +237,7 @@
 
     /// Has the relay prefer every other server to this one.
     pub fn set_aside(&self, id: &str) {
-        let servers = self.relay.servers.of(&"svc".parse().unwrap());
+        let servers = self.relay.servers.for_service(&"svc".parse().unwrap());
         let known = servers.iter().find(|known| known.server.id.as_str() == id).unwrap();
         while !known.state.fail() {}
         assert!(known.state.is_ejected());
