--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -13,7 +13,7 @@
 //!   box sees it, [`servers`] all of them, and [`engines`] the performance model learned from them.
 //! - [`serve`] handles a request from arrival to answer; [`plain`] forwards complete answers,
 //!   [`stream`] event streams, [`attempt`] is one send and [`attempts`] all sends of a call;
-//!   [`pick`] selects the server for a send, [`placed`] groups servers by distance and [`traffic`]
+//!   [`pick`] selects the server for a send, [`by_reach`] groups servers by distance and [`traffic`]
 //!   counts traffic by distance.
 //! - [`lives`] polls servers for their incarnation; [`ends`] detects servers that have ended and the
 //!   requests that ran on them.
