--- a/src/decide/memory.rs
+++ b/src/decide/memory.rs
@@ -1,14 +1,15 @@
-//! What a box keeps in memory for others, and when it takes no more.
+//! Accounts for the memory that a box holds on behalf of others, and decides when it accepts no more.
 //!
-//! Answers a load that a box could not keep: large bodies at a time, answers that nobody takes,
-//! connections without end. Whatever is kept is reserved here before it is kept, so that the process
-//! stays under the limit above which the platform ends it, and with it all that it serves.
+//! It protects the process against loads that it could not hold: many large bodies at once, answers that are
+//! not read, or unlimited connections. Memory is reserved here before it is used, so that the process stays
+//! below the limit above which the platform kills it, together with everything it serves.
 //!
-//! What gives first, as the box fills: connections at rest, which cost their callers a connect; then
-//! requests that have not been read, the least urgent first and of the largest teams first, which cost
-//! them a return. Answers are read ahead of callers who take them slowly only while the box has plenty
-//! of room; beyond that their engines wait for them, and [`super::slowness`] says when they are let go.
-//! An accepted request is never given up for room: its answer may use what the others leave free.
+//! As the box fills, it first closes idle connections, which costs their callers a reconnect. Then it
+//! refuses requests that were not read yet, starting with the least urgent ones and those of the teams that
+//! use the most memory, which costs them a retry. Answers are read ahead of slow callers only while there is
+//! plenty of memory; beyond that, their engines have to wait, and [`super::slowness`] decides when such
+//! callers are disconnected. An accepted request is never aborted for lack of memory: its answer may use
+//! what is otherwise kept free.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -17,56 +18,56 @@
 use crate::sync::lock;
 use crate::units::ByteSize;
 
-/// What the program itself needs: 4 to 10 MB at rest with a large fleet's routes and servers, and twice
-/// as much again for a new configuration beside the old one.
-const OWN_NEED: u64 = 24_000_000;
+/// The memory of the program itself: 4 to 10 MB at rest with the routes and servers of a large fleet, and
+/// twice that while a new configuration is loaded next to the old one.
+const PROGRAM_BYTES: u64 = 24_000_000;
 
-/// The part of the rest that is given out. What the allocator holds back, and bytes that have arrived
-/// and are not read yet, are seen by the platform and not here.
-const GIVEN_PART: f64 = 0.75;
+/// The fraction of the rest that can be reserved. The platform also counts what the allocator retains and
+/// received bytes that were not read yet, which are not accounted for here.
+const RESERVABLE_FRACTION: f64 = 0.75;
 
-/// The part that requests of the most urgent kind may fill. The rest is for answers to those taken.
-const REQUEST_PART: f64 = 0.875;
+/// The fraction that requests of the highest urgency may fill. The rest is for answers to accepted requests.
+const REQUEST_FRACTION: f64 = 0.875;
 
-/// By how much that part is smaller for the least urgent kind: between the two, urgent requests find
-/// room where the others no longer do.
-const URGENCY_PART: f64 = 0.25;
+/// By how much that fraction is smaller for the lowest urgency, so that urgent requests are still accepted
+/// when others no longer are.
+const URGENCY_FRACTION: f64 = 0.25;
 
-/// The last part before a request's own limit, in which no team gets more than its fair part.
-const FAIR_PART: f64 = 0.125;
+/// The fraction just below a request's own limit in which no team gets more than its fair share.
+const FAIR_SHARE_FRACTION: f64 = 0.125;
 
-/// The part above which connections at rest go: well before the least urgent requests are refused, as
-/// closing one gives back far less than a request takes.
-const PRESSED_PART: f64 = 0.4;
+/// The fraction above which idle connections are closed. It is well below the point at which the least
+/// urgent requests are refused, as closing a connection frees far less than a request takes.
+const PRESSURE_FRACTION: f64 = 0.4;
 
-/// The part up to which answers are read before their callers take them: slow callers fill no box, and
-/// cost the others neither their requests nor their connections.
-const AHEAD_PART: f64 = 0.3;
+/// The fraction up to which answers are read before their callers take them. It keeps slow callers from
+/// filling a box at the expense of other callers' requests and connections.
+const READ_AHEAD_FRACTION: f64 = 0.3;
 
-/// The least urgent that a request can be.
-pub const LEAST_URGENT: u8 = 9;
+/// The lowest urgency of a request.
+pub const LOWEST_URGENCY: u8 = 9;
 
 /// What memory is used for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// Heads of requests, as they arrive and until their answer.
+    /// Request heads, from their arrival until the answer.
     Heads,
-    /// Bodies of requests.
+    /// Request bodies.
     Bodies,
     /// Answers that callers have not taken yet.
     Answers,
     /// Requests at backend servers: a task, a connection and the first piece of an answer.
     Requests,
-    /// Callers' connections, also those at rest.
+    /// Callers' connections, including idle ones.
     Connections,
 }
 
 impl Purpose {
-    /// Every purpose.
+    /// All purposes.
     pub const ALL: [Self; 5] =
         [Self::Heads, Self::Bodies, Self::Answers, Self::Requests, Self::Connections];
 
-    /// Its name, in metrics.
+    /// The name in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Heads => "heads",
@@ -78,38 +79,40 @@
     }
 }
 
-/// For whom memory is reserved.
+/// On whose behalf memory is reserved.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Claim {
-    /// A request that has not been accepted: it may be refused.
+pub enum MemoryClaim {
+    /// A request that was not accepted yet and may be refused.
     Request {
-        /// Its team; none on public routes.
+        /// The team, or `None` on public routes.
         team: Option<TeamName>,
-        /// How urgent it is; 0 goes first.
+        /// The urgency; 0 is the most urgent.
         urgency: u8,
     },
-    /// A request that has been accepted: what it needs to be answered.
+    /// An accepted request, for what it needs to be answered.
     Accepted,
-    /// What is read of an answer before its caller takes it, so that the engine is free sooner.
-    Ahead,
-    /// A connection, or what has arrived on one and is not a request yet.
+    /// The part of an answer that is read before its caller takes it, so that the engine is free sooner.
+    ReadAhead,
+    /// A connection, or what arrived on one and is not a request yet.
     Connection,
 }
 
-/// There is no room for it.
+/// The error of a reservation that would exceed a limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("{held} of {size} bytes are kept, and {asked} more are not taken")]
-pub struct NoRoom {
-    /// What is kept.
-    pub held: u64,
-    /// What may be kept at most.
+#[error(
+    "memory limit exceeded: {requested} bytes requested while {reserved} of {size} are reserved"
+)]
+pub struct MemoryLimitExceeded {
+    /// The bytes reserved in total.
+    pub reserved: u64,
+    /// The maximum of reserved bytes.
     pub size: u64,
-    /// What was asked for.
-    pub asked: u64,
+    /// The bytes asked for.
+    pub requested: u64,
 }
 
 #[derive(Debug, Default)]
-struct Book {
+struct MemoryUsage {
     size: u64,
     total: u64,
     peak: u64,
@@ -118,55 +121,65 @@
     refused: u64,
 }
 
-impl Book {
+impl MemoryUsage {
     fn part(&self, part: f64) -> u64 {
         (self.size as f64 * part) as u64
     }
 
-    /// What may be filled by requests of an urgency.
+    /// The limit for requests of an urgency.
     fn limit(&self, urgency: u8) -> u64 {
-        let rank = f64::from(urgency.min(LEAST_URGENT)) / f64::from(LEAST_URGENT);
-        self.part(REQUEST_PART - URGENCY_PART * rank)
+        let rank = f64::from(urgency.min(LOWEST_URGENCY)) / f64::from(LOWEST_URGENCY);
+        self.part(REQUEST_FRACTION - URGENCY_FRACTION * rank)
     }
 
-    fn admits(&self, bytes: u64, claim: &Claim) -> bool {
+    fn admits(&self, bytes: u64, claim: &MemoryClaim) -> bool {
         let next = self.total.saturating_add(bytes);
         match claim {
-            Claim::Accepted => next <= self.size,
-            Claim::Ahead => next <= self.part(AHEAD_PART),
-            Claim::Connection => next <= self.limit(0),
-            Claim::Request { team, urgency } => {
+            MemoryClaim::Accepted => next <= self.size,
+            MemoryClaim::ReadAhead => next <= self.part(READ_AHEAD_FRACTION),
+            MemoryClaim::Connection => next <= self.limit(0),
+            MemoryClaim::Request { team, urgency } => {
                 let limit = self.limit(*urgency);
-                if next > limit || next <= limit - self.part(FAIR_PART) {
+                if next > limit || next <= limit - self.part(FAIR_SHARE_FRACTION) {
                     return next <= limit;
                 }
                 let held = self.by_team.get(team).copied();
                 let teams = self.by_team.len() + usize::from(held.is_none());
-                // A part more than there are teams: the next one finds room as well.
+                // Divide by one more than the number of teams, so that a further team finds room too.
                 held.unwrap_or(0) + bytes <= self.size / (teams as u64 + 1)
             }
         }
     }
 
-    fn take(&mut self, purpose: Purpose, bytes: u64, claim: &Claim) -> Result<(), NoRoom> {
+    fn reserve(
+        &mut self,
+        purpose: Purpose,
+        bytes: u64,
+        claim: &MemoryClaim,
+    ) -> Result<(), MemoryLimitExceeded> {
         if !self.admits(bytes, claim) {
-            // An accepted request waits and asks again: that is no refusal.
-            self.refused += u64::from(matches!(claim, Claim::Request { .. } | Claim::Connection));
-            return Err(NoRoom { held: self.total, size: self.size, asked: bytes });
+            // An accepted request waits and tries again, which does not count as a refusal.
+            self.refused +=
+                u64::from(matches!(claim, MemoryClaim::Request { .. } | MemoryClaim::Connection));
+            return Err(MemoryLimitExceeded {
+                reserved: self.total,
+                size: self.size,
+                requested: bytes,
+            });
         }
         self.total += bytes;
         self.peak = self.peak.max(self.total);
         self.by_purpose[purpose as usize] += bytes;
-        if let Claim::Request { team, .. } = claim {
+        if let MemoryClaim::Request { team, .. } = claim {
             *self.by_team.entry(team.clone()).or_default() += bytes;
         }
         Ok(())
     }
 
-    fn give_back(&mut self, purpose: Purpose, bytes: u64, claim: &Claim) {
+    fn release(&mut self, purpose: Purpose, bytes: u64, claim: &MemoryClaim) {
         self.total -= bytes;
         self.by_purpose[purpose as usize] -= bytes;
-        if let Claim::Request { team, .. } = claim
+        if let MemoryClaim::Request { team, .. } = claim
             && let Some(held) = self.by_team.get_mut(team)
         {
             *held -= bytes;
@@ -177,80 +190,85 @@
     }
 }
 
-/// The memory that a box has for others.
+/// The memory that a box can hold on behalf of others.
 #[derive(Debug, Clone)]
-pub struct Memory {
-    book: Arc<Mutex<Book>>,
+pub struct MemoryBudget {
+    usage: Arc<Mutex<MemoryUsage>>,
 }
 
-impl Memory {
-    /// The memory of a process that may use `limit` in all.
-    pub fn within(limit: ByteSize) -> Self {
-        let rest = limit.0.saturating_sub(OWN_NEED);
-        Self::of((rest as f64 * GIVEN_PART) as u64)
+impl MemoryBudget {
+    /// The budget of a process that may use `limit` in total.
+    pub fn for_process_limit(limit: ByteSize) -> Self {
+        let rest = limit.0.saturating_sub(PROGRAM_BYTES);
+        Self::with_size((rest as f64 * RESERVABLE_FRACTION) as u64)
     }
 
-    /// So many bytes.
-    pub fn of(size: u64) -> Self {
-        Self { book: Arc::new(Mutex::new(Book { size, ..Book::default() })) }
+    /// A budget of `size` bytes.
+    pub fn with_size(size: u64) -> Self {
+        Self { usage: Arc::new(Mutex::new(MemoryUsage { size, ..MemoryUsage::default() })) }
     }
 
-    fn book(&self) -> MutexGuard<'_, Book> {
-        lock(&self.book)
+    fn usage(&self) -> MutexGuard<'_, MemoryUsage> {
+        lock(&self.usage)
     }
 
     /// Reserves memory until the reservation is dropped.
     ///
     /// # Errors
-    /// When there is no room for this claim.
-    pub fn reserve(&self, purpose: Purpose, bytes: u64, claim: Claim) -> Result<Reserved, NoRoom> {
-        self.book().take(purpose, bytes, &claim)?;
-        Ok(Reserved { memory: self.clone(), purpose, bytes, claim })
+    /// When the limit of this claim would be exceeded.
+    pub fn reserve(
+        &self,
+        purpose: Purpose,
+        bytes: u64,
+        claim: MemoryClaim,
+    ) -> Result<MemoryReservation, MemoryLimitExceeded> {
+        self.usage().reserve(purpose, bytes, &claim)?;
+        Ok(MemoryReservation { memory: self.clone(), purpose, bytes, claim })
     }
 
-    /// Whether connections at rest are to go: the least urgent requests would soon find no room.
-    pub fn is_pressed(&self) -> bool {
-        let book = self.book();
-        book.total > book.part(PRESSED_PART)
+    /// Whether idle connections should be closed: the least urgent requests would soon be refused.
+    pub fn is_under_pressure(&self) -> bool {
+        let usage = self.usage();
+        usage.total > usage.part(PRESSURE_FRACTION)
     }
 
-    /// What may be kept at most.
+    /// The maximum of reserved bytes.
     pub fn size(&self) -> u64 {
-        self.book().size
+        self.usage().size
     }
 
-    /// What is kept.
-    pub fn held(&self) -> u64 {
-        self.book().total
+    /// The bytes reserved in total.
+    pub fn reserved(&self) -> u64 {
+        self.usage().total
     }
 
-    /// The most that was kept at a time.
+    /// The peak of the bytes reserved.
     pub fn peak(&self) -> u64 {
-        self.book().peak
+        self.usage().peak
     }
 
-    /// What is kept for a purpose.
-    pub fn held_for(&self, purpose: Purpose) -> u64 {
-        self.book().by_purpose[purpose as usize]
+    /// The bytes reserved for a purpose.
+    pub fn reserved_for(&self, purpose: Purpose) -> u64 {
+        self.usage().by_purpose[purpose as usize]
     }
 
-    /// How often there was no room.
+    /// The number of refused reservations.
     pub fn refused(&self) -> u64 {
-        self.book().refused
+        self.usage().refused
     }
 }
 
-/// Memory reserved; given back when dropped.
+/// Reserved memory, released on drop.
 #[derive(Debug)]
-pub struct Reserved {
-    memory: Memory,
+pub struct MemoryReservation {
+    memory: MemoryBudget,
     purpose: Purpose,
     bytes: u64,
-    claim: Claim,
+    claim: MemoryClaim,
 }
 
-impl Reserved {
-    /// Its bytes.
+impl MemoryReservation {
+    /// The number of reserved bytes.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
@@ -258,23 +276,23 @@
     /// Reserves more.
     ///
     /// # Errors
-    /// When there is no room; what was reserved stays so.
-    pub fn grow(&mut self, bytes: u64) -> Result<(), NoRoom> {
-        self.memory.book().take(self.purpose, bytes, &self.claim)?;
+    /// When the limit would be exceeded. The earlier reservation stays.
+    pub fn grow(&mut self, bytes: u64) -> Result<(), MemoryLimitExceeded> {
+        self.memory.usage().reserve(self.purpose, bytes, &self.claim)?;
         self.bytes += bytes;
         Ok(())
     }
 
-    /// Gives a part back; all of it where that is less.
+    /// Releases `bytes`, or everything if less is reserved.
     pub fn shrink(&mut self, bytes: u64) {
         let bytes = bytes.min(self.bytes);
-        self.memory.book().give_back(self.purpose, bytes, &self.claim);
+        self.memory.usage().release(self.purpose, bytes, &self.claim);
         self.bytes -= bytes;
     }
 }
 
-impl Drop for Reserved {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        self.memory.book().give_back(self.purpose, self.bytes, &self.claim);
+        self.memory.usage().release(self.purpose, self.bytes, &self.claim);
     }
 }
--- a/src/http/gate.rs
+++ b/src/http/gate.rs
@@ -10,7 +10,9 @@
 use tokio::sync::{Notify, Semaphore};
 
 use super::server::Limits;
-use crate::decide::memory::{Claim, Memory, NoRoom, Purpose, Reserved};
+use crate::decide::memory::{
+    MemoryBudget, MemoryClaim, MemoryLimitExceeded, MemoryReservation, Purpose,
+};
 use crate::sync::lock;
 
 /// What a connection takes, as measured at rest: its task, and the buffers with which the library begins.
@@ -51,7 +53,7 @@
     cut: AtomicBool,
     ended: AtomicBool,
     told: Notify,
-    _charge: Option<Reserved>,
+    _charge: Option<MemoryReservation>,
 }
 
 /// What has arrived of a head.
@@ -59,7 +61,7 @@
 struct Head {
     since: Option<Instant>,
     bytes: u64,
-    charge: Option<Reserved>,
+    charge: Option<MemoryReservation>,
 }
 
 impl Link {
@@ -96,7 +98,7 @@
     ///
     /// # Errors
     /// When a head takes more than there is room for.
-    pub(super) fn arrive(&self, bytes: u64) -> Result<(), NoRoom> {
+    pub(super) fn arrive(&self, bytes: u64) -> Result<(), MemoryLimitExceeded> {
         if self.is_at(Stage::Busy) {
             return Ok(());
         }
@@ -113,7 +115,7 @@
         match &mut head.charge {
             Some(charge) => charge.grow(bytes),
             None => {
-                let reserved = memory.reserve(Purpose::Heads, bytes, Claim::Connection)?;
+                let reserved = memory.reserve(Purpose::Heads, bytes, MemoryClaim::Connection)?;
                 head.charge = Some(reserved);
                 Ok(())
             }
@@ -207,7 +209,7 @@
     pub(super) limits: Limits,
     /// Time for a head, in milliseconds.
     head_time: AtomicU64,
-    memory: Option<Memory>,
+    memory: Option<MemoryBudget>,
     book: Mutex<Connections>,
     closed: AtomicU64,
     /// Places to read refused bodies to their end.
@@ -221,11 +223,11 @@
     }
 
     /// A side whose connections are charged to `memory`.
-    pub fn charged(limits: Limits, memory: Memory) -> Arc<Self> {
+    pub fn charged(limits: Limits, memory: MemoryBudget) -> Arc<Self> {
         Self::build(limits, Some(memory))
     }
 
-    fn build(limits: Limits, memory: Option<Memory>) -> Arc<Self> {
+    fn build(limits: Limits, memory: Option<MemoryBudget>) -> Arc<Self> {
         Arc::new(Self {
             limits,
             head_time: AtomicU64::new(limits.head_time.as_millis() as u64),
@@ -270,7 +272,7 @@
         }
         // Where memory is short, one at rest goes for each that comes: they leave requests their room.
         self.relieve(1);
-        let charge = self.charge(CONNECTION_BYTES, Claim::Connection).ok()?;
+        let charge = self.charge(CONNECTION_BYTES, MemoryClaim::Connection).ok()?;
         let link = Arc::new(Link {
             gate: self.clone(),
             stage: AtomicU8::new(Stage::Head as u8),
@@ -287,7 +289,11 @@
     }
 
     /// Charges what a connection takes, where connections are charged.
-    pub(super) fn charge(&self, bytes: u64, claim: Claim) -> Result<Option<Reserved>, NoRoom> {
+    pub(super) fn charge(
+        &self,
+        bytes: u64,
+        claim: MemoryClaim,
+    ) -> Result<Option<MemoryReservation>, MemoryLimitExceeded> {
         let memory = self.memory.as_ref();
         memory.map(|memory| memory.reserve(Purpose::Connections, bytes, claim)).transpose()
     }
@@ -304,7 +310,7 @@
 
     /// Closes so many connections at rest where memory is short, those first that have rested longest.
     pub fn relieve(&self, count: usize) {
-        if self.memory.as_ref().is_some_and(Memory::is_pressed) {
+        if self.memory.as_ref().is_some_and(MemoryBudget::is_under_pressure) {
             self.close_oldest(count);
         }
     }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -25,7 +25,7 @@
 
 use super::Body;
 use super::gate::{Busy, Gate, Link, Place};
-use crate::decide::memory::Claim;
+use crate::decide::memory::MemoryClaim;
 
 /// Headers of one request at most.
 const HEADER_COUNT: usize = 64;
@@ -283,7 +283,7 @@
             let Ok(_place) = gate.drains.acquire().await else {
                 return;
             };
-            let Ok(_charge) = gate.charge(READ_BYTES, Claim::Accepted) else {
+            let Ok(_charge) = gate.charge(READ_BYTES, MemoryClaim::Accepted) else {
                 return;
             };
             let mut left = DRAIN_BYTES;
--- a/src/relay/keeping.rs
+++ b/src/relay/keeping.rs
@@ -10,7 +10,9 @@
 use hyper::body::{Body as _, Incoming};
 
 use crate::blackboard::RequestGuard;
-use crate::decide::memory::{Claim, Memory, NoRoom, Purpose, Reserved};
+use crate::decide::memory::{
+    MemoryBudget, MemoryClaim, MemoryLimitExceeded, MemoryReservation, Purpose,
+};
 use crate::decide::slowness::{Arriving, can_arrive};
 use crate::error::{Failure, Kind};
 use crate::http::charged::guarded;
@@ -38,8 +40,8 @@
 pub struct Kept {
     link: Option<Arc<Link>>,
     _guard: RequestGuard,
-    _head: Reserved,
-    _place: Reserved,
+    _head: MemoryReservation,
+    _place: MemoryReservation,
 }
 
 impl Kept {
@@ -48,9 +50,9 @@
     /// # Errors
     /// [`Kind::NoMemory`].
     pub(super) fn take(
-        memory: &Memory,
+        memory: &MemoryBudget,
         request: &Request<()>,
-        claim: &Claim,
+        claim: &MemoryClaim,
         guard: RequestGuard,
     ) -> Result<Self, Failure> {
         let link = request.extensions().get::<Arc<Busy>>().map(|busy| busy.link().clone());
@@ -70,7 +72,7 @@
 }
 
 /// What a request is told for which there is no room: nothing of it was passed on.
-fn refused(room: NoRoom) -> Failure {
+fn refused(room: MemoryLimitExceeded) -> Failure {
     Failure::new(Kind::NoMemory, format!("the box has no room for it: {room}"))
         .after(Some(ROOM_WAIT))
 }
@@ -82,11 +84,11 @@
 /// [`Kind::NoMemory`], [`Kind::TooLarge`], [`Kind::SlowCaller`] or [`Kind::BadRequest`]; what is left
 /// unread stays in `body`.
 pub(super) async fn read_body(
-    memory: &Memory,
+    memory: &MemoryBudget,
     body: &mut Option<Incoming>,
     limit: usize,
     until: Instant,
-    claim: Claim,
+    claim: MemoryClaim,
 ) -> Result<Bytes, Failure> {
     let Some(incoming) = body.as_mut().filter(|body| !body.is_end_stream()) else {
         *body = None;
@@ -112,7 +114,7 @@
 
 struct Reading {
     held: BytesMut,
-    reserved: Reserved,
+    reserved: MemoryReservation,
     limit: usize,
 }
 
@@ -122,7 +124,7 @@
         body: &mut Incoming,
         length: Option<u64>,
         until: Instant,
-    ) -> Result<(Bytes, Reserved), Failure> {
+    ) -> Result<(Bytes, MemoryReservation), Failure> {
         let began = Instant::now();
         let time = until.saturating_duration_since(began);
         let mut look = began + time / LOOKS;
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -75,7 +75,7 @@
 use crate::decide::distance::Distances;
 use crate::decide::intervals::{HEARTBEAT_INTERVAL, MAX_HEARTBEAT_INTERVAL};
 use crate::decide::loads::LoadPool;
-use crate::decide::memory::Memory;
+use crate::decide::memory::MemoryBudget;
 use crate::decide::pause::Pauses;
 use crate::decide::presence::RELAYS_GUESSED;
 use crate::decide::quarantine::BoxQuarantine;
@@ -127,7 +127,7 @@
     /// The known backend servers.
     pub servers: ServerTable,
     /// The memory budget for callers' requests and answers.
-    pub memory: Memory,
+    pub memory: MemoryBudget,
     /// Callers' connections.
     pub gate: Arc<Gate>,
     /// The route table in force; `None` until the first one arrives.
@@ -170,7 +170,7 @@
     pub fn new(context: RelayContext) -> Self {
         let usage = UsageCounter::new(context.settings.usage_window.duration());
         let servers = ServerTable::new(context.topology.clone());
-        let memory = Memory::within(context.settings.memory);
+        let memory = MemoryBudget::for_process_limit(context.settings.memory);
         let gate = Gate::charged(listen::limits(&context.settings), memory.clone());
         Self {
             context,
--- a/src/relay/plain.rs
+++ b/src/relay/plain.rs
@@ -19,7 +19,7 @@
 use super::taking::UNCHARGED_BYTES;
 use crate::backend::SendFault;
 use crate::decide::engine::Observation;
-use crate::decide::memory::{Claim, Purpose, Reserved};
+use crate::decide::memory::{MemoryClaim, MemoryReservation, Purpose};
 use crate::decide::releases::AnswerOutcome;
 use crate::decide::verdict::RelativeLatency;
 use crate::error::{Failure, Kind};
@@ -230,7 +230,7 @@
             return Err(SendFailure::from_fault(SendFault::TooLarge(limit)));
         }
         let needed = (held.len() + piece.len()) as u64;
-        let room = charge.as_ref().map_or(UNCHARGED_BYTES, Reserved::bytes);
+        let room = charge.as_ref().map_or(UNCHARGED_BYTES, MemoryReservation::bytes);
         if needed > room {
             reserve_memory(relay, &mut charge, piece.len() as u64).await?;
         }
@@ -254,10 +254,10 @@
 /// already run, so it is not refused. An answer larger than the box's whole memory budget fails.
 async fn reserve_memory(
     relay: &Relay,
-    charge: &mut Option<Reserved>,
+    charge: &mut Option<MemoryReservation>,
     bytes: u64,
 ) -> Result<(), SendFailure> {
-    let whole = charge.as_ref().map_or(0, Reserved::bytes) + bytes;
+    let whole = charge.as_ref().map_or(0, MemoryReservation::bytes) + bytes;
     if whole > relay.memory.size() {
         return Err(SendFailure::from_fault(SendFault::TooLarge(relay.memory.size() as usize)));
     }
@@ -265,7 +265,7 @@
         let taken = match charge {
             Some(charge) => charge.grow(bytes).is_ok(),
             None => {
-                *charge = relay.memory.reserve(Purpose::Answers, bytes, Claim::Accepted).ok();
+                *charge = relay.memory.reserve(Purpose::Answers, bytes, MemoryClaim::Accepted).ok();
                 charge.is_some()
             }
         };
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -21,7 +21,7 @@
 use super::taking;
 use crate::clock;
 use crate::decide::choose::split;
-use crate::decide::memory::{Claim, LEAST_URGENT};
+use crate::decide::memory::{LOWEST_URGENCY, MemoryClaim};
 use crate::error::{Failure, Kind};
 use crate::http::answer;
 use crate::http::gate::Busy;
@@ -162,7 +162,7 @@
     let id = head.id.clone();
     let timeout = head.timeout.unwrap_or(route.timeout).min(route.timeout);
     let urgency = urgency(team, &route);
-    let claim = Claim::Request { team: team.map(|team| team.name.clone()), urgency };
+    let claim = MemoryClaim::Request { team: team.map(|team| team.name.clone()), urgency };
     relay.gate.relieve(IDLE_CLOSED_PER_REQUEST);
     let kept = Kept::take(&relay.memory, &request, &claim, guard)?;
     let until = arrived + timeout;
@@ -281,7 +281,7 @@
 /// Urgency of a request, where 0 is served first. The team's priority weighs more than the route's.
 fn urgency(team: Option<&Team>, route: &Route) -> u8 {
     let urgency = team.map_or(0, |team| team.priority.saturating_mul(TEAM_PRIORITY_WEIGHT));
-    urgency.saturating_add(route.priority).min(LEAST_URGENT)
+    urgency.saturating_add(route.priority).min(LOWEST_URGENCY)
 }
 
 fn build_call(
--- a/src/relay/taking.rs
+++ b/src/relay/taking.rs
@@ -24,7 +24,7 @@
 use super::call::Call;
 use super::keeping::Kept;
 use super::table::Route;
-use crate::decide::memory::{Claim, Purpose, Reserved};
+use crate::decide::memory::{MemoryClaim, MemoryReservation, Purpose};
 use crate::decide::slowness::{Slow, Taking, judge};
 use crate::http::charged::guarded;
 use crate::http::{Body, whole};
@@ -89,7 +89,7 @@
 
     /// Counts bytes as kept until the last reference to them is dropped, which counts them as
     /// taken.
-    fn keep(self: &Arc<Self>, bytes: Bytes, charge: Option<Reserved>) -> Bytes {
+    fn keep(self: &Arc<Self>, bytes: Bytes, charge: Option<MemoryReservation>) -> Bytes {
         let length = bytes.len() as u64;
         let mut progress = self.progress();
         progress.kept_bytes += length;
@@ -140,7 +140,7 @@
 struct UntakenBytes {
     state: Arc<DeliveryState>,
     length: u64,
-    _charge: Option<Reserved>,
+    _charge: Option<MemoryReservation>,
 }
 
 impl Drop for UntakenBytes {
@@ -284,12 +284,12 @@
 
     /// Reserves memory for a chunk on top of the `kept` bytes; the first [`UNCHARGED_BYTES`] need
     /// none.
-    fn reserve(&self, kept: u64, length: u64) -> Result<Option<Reserved>, ()> {
+    fn reserve(&self, kept: u64, length: u64) -> Result<Option<MemoryReservation>, ()> {
         if kept + length <= UNCHARGED_BYTES {
             return Ok(None);
         }
         let memory = &self.relay.memory;
-        let reserved = memory.reserve(Purpose::Answers, length, Claim::Ahead);
+        let reserved = memory.reserve(Purpose::Answers, length, MemoryClaim::ReadAhead);
         reserved.map(Some).map_err(|_| ())
     }
 
--- a/src/telemetry/gauges.rs
+++ b/src/telemetry/gauges.rs
@@ -156,7 +156,7 @@
     fn record_memory(&self, relay: &Relay) {
         for purpose in Purpose::ALL {
             let label = [KeyValue::new("purpose", purpose.name())];
-            self.memory.record(relay.memory.held_for(purpose), &label);
+            self.memory.record(relay.memory.reserved_for(purpose), &label);
         }
         self.memory_size.record(relay.memory.size(), &[]);
         self.memory_peak.record(relay.memory.peak(), &[]);
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use emberturn::decide::filling::{Filling, have_room};
-use emberturn::decide::memory::{Claim, Memory, Purpose, Reserved};
+use emberturn::decide::memory::{MemoryBudget, MemoryClaim, MemoryReservation, Purpose};
 use emberturn::decide::slowness::{Arriving, Slow, Taking, can_arrive, judge};
 use emberturn::units::{ByteSize, Tokens};
 use proptest::prelude::*;
@@ -11,37 +11,37 @@
 
 const SIZE: u64 = 1_000;
 
-fn request(team: &str, urgency: u8) -> Claim {
-    Claim::Request { team: Some(team.parse().unwrap()), urgency }
+fn request(team: &str, urgency: u8) -> MemoryClaim {
+    MemoryClaim::Request { team: Some(team.parse().unwrap()), urgency }
 }
 
 /// Takes pieces of ten bytes until there is no room.
-fn fill(memory: &Memory, claim: &Claim) -> Vec<Reserved> {
+fn fill(memory: &MemoryBudget, claim: &MemoryClaim) -> Vec<MemoryReservation> {
     let pieces = std::iter::repeat_with(|| memory.reserve(Purpose::Bodies, 10, claim.clone()));
     pieces.map_while(Result::ok).collect()
 }
 
-fn bytes(held: &[Reserved]) -> u64 {
-    held.iter().map(Reserved::bytes).sum()
+fn bytes(held: &[MemoryReservation]) -> u64 {
+    held.iter().map(MemoryReservation::bytes).sum()
 }
 
 #[test]
 fn least_urgent_is_refused_first() {
-    let memory = Memory::of(SIZE);
+    let memory = MemoryBudget::with_size(SIZE);
     let mut before = 0;
     let mut held = Vec::new();
     for urgency in [9, 5, 0] {
         for team in 0..20 {
             held.extend(fill(&memory, &request(&format!("team-{team}"), urgency)));
         }
-        assert!(memory.held() > before, "urgency {urgency} finds no room at {before}");
-        before = memory.held();
+        assert!(memory.reserved() > before, "urgency {urgency} finds no room at {before}");
+        before = memory.reserved();
     }
 }
 
 #[test]
 fn team_that_fills_the_box_leaves_room_for_another() {
-    let memory = Memory::of(SIZE);
+    let memory = MemoryBudget::with_size(SIZE);
     let _large = fill(&memory, &request("large", 0));
     let small = fill(&memory, &request("small", 0));
     assert!(bytes(&small) >= SIZE / 10, "{small:?}");
@@ -49,31 +49,31 @@
 
 #[test]
 fn accepted_request_finds_room_where_new_ones_do_not() {
-    let memory = Memory::of(SIZE);
+    let memory = MemoryBudget::with_size(SIZE);
     let mut held = Vec::new();
     for team in 0..20 {
         held.extend(fill(&memory, &request(&format!("team-{team}"), 0)));
     }
     assert!(memory.reserve(Purpose::Bodies, 10, request("new", 0)).is_err());
-    assert!(memory.reserve(Purpose::Connections, 100, Claim::Connection).is_err());
-    assert!(memory.reserve(Purpose::Answers, 100, Claim::Accepted).is_ok());
+    assert!(memory.reserve(Purpose::Connections, 100, MemoryClaim::Connection).is_err());
+    assert!(memory.reserve(Purpose::Answers, 100, MemoryClaim::Accepted).is_ok());
 }
 
 #[test]
 fn reading_ahead_of_slow_callers_takes_no_room_from_others() {
-    let memory = Memory::of(SIZE);
-    let _ahead = fill(&memory, &Claim::Ahead);
-    assert!(!memory.is_pressed());
+    let memory = MemoryBudget::with_size(SIZE);
+    let _ahead = fill(&memory, &MemoryClaim::ReadAhead);
+    assert!(!memory.is_under_pressure());
     let requests = fill(&memory, &request("team", 9));
     assert!(bytes(&requests) >= SIZE / 10, "{}", bytes(&requests));
 }
 
 #[test]
 fn connections_at_rest_go_before_anything_is_refused() {
-    let memory = Memory::of(SIZE);
+    let memory = MemoryBudget::with_size(SIZE);
     let claim = request("team", 9);
     let mut held = Vec::new();
-    while !memory.is_pressed() {
+    while !memory.is_under_pressure() {
         held.push(memory.reserve(Purpose::Bodies, 10, claim.clone()).unwrap());
     }
     assert!(bytes(&held) < SIZE);
@@ -81,9 +81,9 @@
 
 #[test]
 fn what_the_program_needs_itself_is_not_given_out() {
-    let memory = Memory::within(ByteSize(160_000_000));
+    let memory = MemoryBudget::for_process_limit(ByteSize(160_000_000));
     assert!(memory.size() > 90_000_000 && memory.size() < 136_000_000, "{}", memory.size());
-    assert_eq!(Memory::within(ByteSize(1)).size(), 0);
+    assert_eq!(MemoryBudget::for_process_limit(ByteSize(1)).size(), 0);
 }
 
 #[derive(Debug, Clone)]
@@ -105,16 +105,16 @@
     ]
 }
 
-fn perform(memory: &Memory, held: &mut Vec<Reserved>, step: &Step) {
+fn perform(memory: &MemoryBudget, held: &mut Vec<MemoryReservation>, step: &Step) {
     let count = held.len().max(1);
     match step {
         Step::Reserve(purpose, bytes, team, urgency) => {
             let claim = match (team, urgency) {
                 (Some(team), _) => request(&format!("team-{team}"), *urgency),
-                (None, 0..3) => Claim::Accepted,
-                (None, 3..5) => Claim::Ahead,
-                (None, 5..7) => Claim::Connection,
-                (None, _) => Claim::Request { team: None, urgency: *urgency },
+                (None, 0..3) => MemoryClaim::Accepted,
+                (None, 3..5) => MemoryClaim::ReadAhead,
+                (None, 5..7) => MemoryClaim::Connection,
+                (None, _) => MemoryClaim::Request { team: None, urgency: *urgency },
             };
             held.extend(memory.reserve(Purpose::ALL[*purpose], *bytes, claim));
         }
@@ -138,17 +138,17 @@
     fn whatever_comes_and_goes_stays_within_and_is_given_back(
         steps in proptest::collection::vec(step(), 0..200),
     ) {
-        let memory = Memory::of(SIZE);
+        let memory = MemoryBudget::with_size(SIZE);
         let mut held = Vec::new();
         for step in &steps {
             perform(&memory, &mut held, step);
-            prop_assert!(memory.held() <= SIZE);
-            prop_assert_eq!(memory.held(), bytes(&held));
-            let by_purpose = Purpose::ALL.map(|purpose| memory.held_for(purpose));
-            prop_assert_eq!(memory.held(), by_purpose.iter().sum::<u64>());
+            prop_assert!(memory.reserved() <= SIZE);
+            prop_assert_eq!(memory.reserved(), bytes(&held));
+            let by_purpose = Purpose::ALL.map(|purpose| memory.reserved_for(purpose));
+            prop_assert_eq!(memory.reserved(), by_purpose.iter().sum::<u64>());
         }
         held.clear();
-        prop_assert_eq!(memory.held(), 0);
+        prop_assert_eq!(memory.reserved(), 0);
         // Also of the teams: the first one has the whole box again.
         let again = fill(&memory, &request("team-0", 0));
         prop_assert!(bytes(&again) >= SIZE / 2);
--- a/tests/names.rs
+++ b/tests/names.rs
@@ -14,12 +14,11 @@
 const DONE: [&str; 3] = ["src/control", "src/decide", "src/relay"];
 
 /// Type names that still stand for two things, each to go.
-const DOUBLED: [&str; 13] = [
+const DOUBLED: [&str; 12] = [
     "Action",
     "Arguments",
     "Call",
     "Candidate",
-    "Claim",
     "Command",
     "End",
     "Limits",
--- a/tests/pressure.rs
+++ b/tests/pressure.rs
@@ -106,7 +106,7 @@
     let said = |reply: &&Reply| reply.whole && reply.headers.contains_key("retry-after");
     assert!(refused.iter().all(said) && refused.iter().all(|it| it.body.contains("no_memory")));
     assert!(relay.relay.memory.peak() <= relay.relay.memory.size());
-    until("all is given back", || relay.relay.memory.held_for(Purpose::Bodies) == 0).await;
+    until("all is given back", || relay.relay.memory.reserved_for(Purpose::Bodies) == 0).await;
 }
 
 #[tokio::test]
@@ -117,9 +117,9 @@
     let text = head("once", &format!("Content-Length: {BODY}\r\n"));
     stream.write_all(text.as_bytes()).await.unwrap();
     let memory = &relay.relay.memory;
-    until("it is reserved", || memory.held_for(Purpose::Bodies) >= BODY as u64).await;
+    until("it is reserved", || memory.reserved_for(Purpose::Bodies) >= BODY as u64).await;
     drop(stream);
-    until("all is given back", || memory.held() == 0).await;
+    until("all is given back", || memory.reserved() == 0).await;
     assert!(server.seen().is_empty());
 }
 
@@ -157,7 +157,7 @@
     assert_eq!(reply.status, 408, "{reply:?}");
     assert!(reply.body.contains("cannot arrive in time"), "{reply:?}");
     assert!(server.seen().is_empty());
-    until("all is given back", || relay.relay.memory.held() == 0).await;
+    until("all is given back", || relay.relay.memory.reserved() == 0).await;
 }
 
 #[tokio::test]
@@ -231,14 +231,14 @@
     ask_on(&mut resting).await;
     let relay = Arc::new(relay);
     let mut held = Vec::new();
-    while !relay.relay.memory.is_pressed() {
+    while !relay.relay.memory.is_under_pressure() {
         let mut stream = TcpStream::connect(relay.addr).await.unwrap();
         let text = head("once", "Content-Length: 1000000\r\n");
         stream.write_all(text.as_bytes()).await.unwrap();
         held.push(stream);
         let memory = relay.relay.memory.clone();
         let wanted = held.len() as u64 * 1_000_000;
-        until("it is reserved", || memory.held_for(Purpose::Bodies) >= wanted).await;
+        until("it is reserved", || memory.reserved_for(Purpose::Bodies) >= wanted).await;
     }
     relay.ask("POST", "once").await;
     assert_eq!(rest(&mut resting).await, "");
@@ -252,7 +252,7 @@
     let text = head("once", "Content-Length: 3000000\r\n");
     held.write_all(text.as_bytes()).await.unwrap();
     let memory = &relay.relay.memory;
-    until("it is reserved", || memory.held_for(Purpose::Bodies) >= 3_000_000).await;
+    until("it is reserved", || memory.reserved_for(Purpose::Bodies) >= 3_000_000).await;
     let reply = send_whole(&relay, &vec![b'x'; BODY]).await;
     assert_eq!((reply.status, reply.whole), (503, true), "{reply:?}");
     assert!(reply.headers.contains_key("retry-after"));
@@ -292,7 +292,7 @@
     let relay = TestRelay::start(&[&server]).await;
     let (_stream, _) = ask_and_stop(&relay, "stream", 100).await;
     until("the engine is free", || in_flight(&relay) == 0).await;
-    let kept = relay.relay.memory.held_for(Purpose::Answers);
+    let kept = relay.relay.memory.reserved_for(Purpose::Answers);
     assert!(kept > 0 && !relay.has_counted("caller_slow"), "{kept}");
 }
 
@@ -304,7 +304,7 @@
     server.wait_gone(1).await;
     assert!(relay.has_counted("caller_slow"));
     assert!(!rest(&mut stream).await.ends_with("0\r\n\r\n"));
-    until("all is given back", || relay.relay.memory.held() == 0).await;
+    until("all is given back", || relay.relay.memory.reserved() == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -393,7 +393,7 @@
     let whole: String = (1..=1_000).map(|number| large_event(number, 100)).collect();
     assert!(first.iter().chain(&last).all(|reply| reply.whole && reply.body == whole));
     until("slow ones are let go", || relay.has_counted("caller_slow")).await;
-    until("all is given back", || relay.relay.memory.held() == 0).await;
+    until("all is given back", || relay.relay.memory.reserved() == 0).await;
     let memory = &relay.relay.memory;
     assert!(memory.peak() <= memory.size());
     println!(
