--- a/src/decide/intervals.rs
+++ b/src/decide/intervals.rs
@@ -16,7 +16,8 @@
 /// The longest time between two heartbeats: a lease lasts for two of them and their retries.
 pub const MAX_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2_000);
 
-/// The attempts to find a lost leader that all boxes together make in a second.
+/// The most attempts to find a lost leader that all boxes together make in a second: no more than the replicas can
+/// answer.
 const MAX_RETRIES_PER_SECOND: f64 = 2_000.0;
 
 /// The shortest delay before the next attempt.
--- a/src/decide/throttle.rs
+++ b/src/decide/throttle.rs
@@ -299,7 +299,8 @@
         (old != limit).then_some(LimitChange { old, new: limit })
     }
 
-    /// The state of each limited server of a service. Notes that a request wants to use them.
+    /// The state of each limited server of a service, for a request that is about to be sent. Records that these
+    /// servers are wanted, so that the next report asks for leases of them.
     pub fn states(
         &mut self,
         service: &ServiceName,
--- a/tests/server_pauses.rs
+++ b/tests/server_pauses.rs
@@ -61,7 +61,7 @@
 
 /// A value that is not a number of seconds asks for no pause, and the server gets further requests.
 #[parameterized(
-    word = { "soon" },
+    text = { "soon" },
     date = { "Thu, 03 Dec 2026 11:00:00 GMT" },
     negative = { "-3" },
     empty = { "" },
@@ -76,8 +76,8 @@
     });
 }
 
-/// `asked`: pauses in seconds that a server asks for at the same moment, in this order. `left`: seconds until the server
-/// gets requests again.
+/// `asked`: pauses in seconds that a server asks for at the same moment, in this order. `left`: seconds until the
+/// server gets requests again.
 #[parameterized(
     one = { &[3.0], 3.0 },
     shorter = { &[3.0, 1.0], 3.0 },
--- a/tests/team_limit.rs
+++ b/tests/team_limit.rs
@@ -335,8 +335,8 @@
         let unheard = self.presence.unheard();
         let bucket = self.bucket.get_or_insert_with(|| TokenBucket::new(now));
         let demand = report.teams.get(&self.team).copied();
-        let told = demand.map(|demand| TeamReport { incarnation, seq: report.seq, demand });
-        let grant = told
+        let report = demand.map(|demand| TeamReport { incarnation, seq: report.seq, demand });
+        let grant = report
             .and_then(|it| bucket.handle_report(now, limit, self.reserve_note, unheard, &id, it));
         if bucket.needs_low_note() && self.note_due.is_none() {
             self.note_due = Some(now + NOTE_TIME);
@@ -469,8 +469,8 @@
     }
 }
 
-/// Bounds the refused part of the requests of a team that uses half of its limit, while there is no leader for 5 s, over
-/// ten seeds. Refused are long requests at boxes that receive such requests less often than a lease lasts.
+/// Bounds the refused part of the requests of a team that uses half of its limit, while there is no leader for 5 s,
+/// over ten seeds. Refused are long requests at boxes that receive such requests less often than a lease lasts.
 #[test]
 fn few_requests_of_a_team_within_its_limit_are_refused_without_a_leader() {
     for (boxes, busy, bound) in [(8, 8, 0.05), (76, 30, 0.3), (300, 13, 0.1), (300, 40, 0.3)] {
--- a/tests/telling.rs
+++ b/tests/telling.rs
@@ -100,8 +100,8 @@
 }
 
 proptest! {
-    /// Whatever is lost, the leader has all counts after a report that it answers, or after the next one if it asked for
-    /// a full report, and it never has counts of requests that did not run.
+    /// Whatever is lost, the leader has all counts after a report that it answers, or after the next one if it asked
+    /// for a full report, and it never has counts of requests that did not run.
     #[test]
     fn leader_has_the_counts_of_all_requests(
         events in prop::collection::vec(event(), 1..60),
--- a/tests/throttle.rs
+++ b/tests/throttle.rs
@@ -1,5 +1,5 @@
-//! Simulates the limit that a server announces, over all boxes, with network partitions, restarts, changes of leader, and
-//! lost and late messages. Boxes and leader run the production code; each run is determined by its seed.
+//! Simulates the limit that a server announces, over all boxes, with network partitions, restarts, changes of leader,
+//! and lost and late messages. Boxes and leader run the production code; each run is determined by its seed.
 
 use std::time::{Duration, Instant};
 
