--- a/src/control/duties.rs
+++ b/src/control/duties.rs
@@ -108,7 +108,7 @@
                 let servers = lead.list.servers();
                 let (count, leaving) =
                     (servers.len(), servers.iter().filter(|it| it.leaving).count());
-                lead.loads.follow(lead.list.keys(), now);
+                lead.loads.update_servers(lead.list.keys(), now);
                 let going = servers.iter().filter(|it| it.leaving).map(|it| &it.id);
                 lead.quarantine.record_leaving(going, now);
                 node.listed.notify_waiters();
--- a/src/control/heartbeat.rs
+++ b/src/control/heartbeat.rs
@@ -178,7 +178,7 @@
         models: told.models,
         demand: std::mem::take(&mut report.teams),
         trials: relay.releases().build_reports(Instant::now()),
-        loads: relay.loads().take(Instant::now()),
+        loads: relay.loads().drain(Instant::now()),
         lives: relay.servers.unreported_incarnations(),
         quarantine: relay.quarantine().report(Instant::now()),
         turn,
--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -21,7 +21,7 @@
 use crate::decide::limit_leases::{LimitLeases, ReportOrigin};
 use crate::decide::lives;
 use crate::decide::loads::{self, LoadPool};
-use crate::decide::presence::{ABSENT_TIME, Presence};
+use crate::decide::presence::{ABSENCE_TIMEOUT, RelayPresence};
 use crate::decide::quarantine::{FleetQuarantine, QuarantineReport, QuarantineUpdate};
 use crate::decide::report_delta::{DeltaReceiver, ReportDelta};
 use crate::decide::throttle::{LimitLease, LimitReport};
@@ -100,7 +100,7 @@
     /// Whether nobody can have carried out a duty before: nothing was published yet.
     first: bool,
     words: BTreeMap<(BoxId, Incarnation), BoxState>,
-    pub(super) presence: Presence,
+    pub(super) presence: RelayPresence,
     swept: Instant,
     pub(super) levels: BTreeMap<TeamName, TokenBucket>,
     /// The table whose teams have levels.
@@ -142,7 +142,7 @@
             since: Instant::now(),
             first,
             words: BTreeMap::new(),
-            presence: Presence::new(Instant::now()),
+            presence: RelayPresence::new(Instant::now()),
             swept: Instant::now(),
             levels: BTreeMap::new(),
             levelled: None,
@@ -191,7 +191,7 @@
         let since = self.since.elapsed().as_secs_f64();
         let releases = self.rollouts.hear(since, &key, &beat.trials);
         let before = self.presence.record(&beat.box_id, now);
-        self.loads.hear(beat.loads, now);
+        self.loads.record_samples(beat.loads, now);
         self.record_samples(beat.samples);
         self.record_incarnations(beat.lives, now);
         let quarantine = self.record_ends(beat.quarantine, now);
@@ -207,7 +207,7 @@
         let lacks = told.apply(news, self.settled);
         let word = BoxState { heard: now, document: beat.document, offered: beat.offered, told };
         self.words.insert(key, word);
-        let relays = self.presence.relays(now);
+        let relays = self.presence.estimated_relays(now);
         let index = self.is_informed().then(|| self.list.index_for_location(&box_id, own.as_ref()));
         let parts = index.as_ref().map(|index| self.list.listed_parts(index)).unwrap_or_default();
         let loads = self.draw_loads(&parts, now, before);
@@ -264,8 +264,8 @@
         before: Option<Instant>,
     ) -> Vec<PartLoads> {
         let listed: Vec<_> = parts.iter().flat_map(|(_, servers)| servers).copied().collect();
-        let mut drawn = self.loads.draw(&listed, now, rand::random());
-        drawn.truncate(loads::due(before.map(|before| now - before)));
+        let mut drawn = self.loads.sample(&listed, now, rand::random());
+        drawn.truncate(loads::due_samples(before.map(|before| now - before)));
         part_loads::to_part_loads(&drawn, parts)
     }
 
@@ -309,7 +309,7 @@
             return;
         }
         self.swept = now;
-        self.presence.sweep(now);
+        self.presence.remove_absent(now);
         self.words.retain(|_, word| word.heard + FORGET_TIME > now);
     }
 
@@ -318,7 +318,7 @@
     /// itself.
     pub(super) fn learn_relays(&mut self, box_id: &BoxId, life: Incarnation, relays: Option<u32>) {
         if !self.words.contains_key(&(box_id.clone(), life)) {
-            self.presence.learn(box_id, relays);
+            self.presence.record_told(box_id, relays);
         }
     }
 
@@ -336,7 +336,7 @@
             return BTreeMap::new();
         };
         self.follow_teams(&table, now);
-        let unheard = self.presence.unheard();
+        let unheard = self.presence.unheard_relays();
         let mut allowed = BTreeMap::new();
         for (name, demand) in teams {
             let Some(limit) = table.teams.get(name).and_then(|team| team.limit()) else {
@@ -367,7 +367,7 @@
         self.low.is_none()
             || !self.lacking.is_empty()
             || self.quarantine.pending_change().is_some()
-            || self.presence.next_note(Instant::now()).is_some()
+            || self.presence.next_stored(Instant::now()).is_some()
     }
 
     /// Keeps a level for each team of the table, from the first word that this leader hears on: one
@@ -387,12 +387,13 @@
     /// Takes what the relays that are present say of the services' demand.
     fn record_demand(&mut self) {
         let mut sums: BTreeMap<ServiceName, OfferedLoad> = BTreeMap::new();
-        let present = self.words.values().filter(|word| word.heard.elapsed() < ABSENT_TIME);
+        let present = self.words.values().filter(|word| word.heard.elapsed() < ABSENCE_TIMEOUT);
         for (service, offered) in present.flat_map(|word| &word.offered) {
             let sum = sums.entry(service.clone()).or_default();
             *sum = *sum + *offered;
         }
-        let age = heartbeat_interval(self.presence.relays(Instant::now())).as_secs_f64() / 2.0;
+        let age =
+            heartbeat_interval(self.presence.estimated_relays(Instant::now())).as_secs_f64() / 2.0;
         self.spender.note(self.since.elapsed().as_secs_f64(), age, &sums);
         self.pool_engines();
     }
@@ -401,7 +402,7 @@
     /// they have seen more than a few requests.
     fn pool_engines(&mut self) {
         let now = Instant::now();
-        let present = || self.words.values().filter(move |word| word.heard + ABSENT_TIME > now);
+        let present = || self.words.values().filter(move |word| word.heard + ABSENCE_TIMEOUT > now);
         let words = || present().map(|word| &word.told.engines);
         let own: Models =
             self.learners.iter().map(|(name, it)| (name.clone(), it.model())).collect();
@@ -561,7 +562,7 @@
         let newest = self.board.document().version;
         let held = lock(&self.lead);
         let lead = held.as_ref().filter(|lead| self.board.leading() == Some(lead.term))?;
-        let present = lead.words.values().filter(|word| word.heard.elapsed() < ABSENT_TIME);
+        let present = lead.words.values().filter(|word| word.heard.elapsed() < ABSENCE_TIMEOUT);
         Some(present.filter(|word| word.document < newest).count())
     }
 
--- a/src/control/notes.rs
+++ b/src/control/notes.rs
@@ -69,7 +69,7 @@
         if let Some(change) = self.quarantine.pending_change() {
             return Some(Command::ChangeQuarantine(change));
         }
-        if let Some(relays) = self.presence.next_note(Instant::now()) {
+        if let Some(relays) = self.presence.next_stored(Instant::now()) {
             return Some(Command::NoteRelays(relays));
         }
         if let Some(low) = self.next_low(tolerance) {
@@ -93,7 +93,7 @@
 
     fn take_notes(&mut self, notes: Notes) {
         self.low = Some(notes.low);
-        self.presence.restore(notes.relays);
+        self.presence.record_stored(notes.relays);
         for (service, model) in &notes.engines {
             self.engines.entry(service.clone()).or_insert(*model);
         }
@@ -116,7 +116,7 @@
 
     /// Looks at the levels of the teams that are not noted as low.
     fn look_at_levels(&mut self, now: f64, table: &RouteTable, tolerance: Tolerance) {
-        let unheard = self.presence.unheard();
+        let unheard = self.presence.unheard_relays();
         let Some(low) = &self.low else {
             return;
         };
--- a/src/decide/presence.rs
+++ b/src/decide/presence.rs
@@ -1,125 +1,130 @@
-//! How many relays there are, as one leader can tell.
+//! Estimates the number of relays from the view of one leader.
 //!
-//! A new leader has heard none of them, and those that it has not heard may go by what a former one leased them. How
-//! many there were it learns from the group's note, and from what relays were told. The note alone holds where a relay
-//! that has just started is the first to be heard: it was told nothing.
+//! A new leader has not heard from any relay yet, and those it has not heard from may still hold leases from
+//! a former leader. It learns how many there were from the number stored by the group, and from the number
+//! that relays were told. The stored number is the only source if the first relay it hears from has just
+//! started and was told nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
 use crate::ids::BoxId;
 
-/// Relays taken to share the limits before anyone can tell how many do.
-pub const RELAYS_GUESSED: u32 = 16;
+/// The assumed number of relays that share the limits while none can tell it.
+pub const ASSUMED_RELAYS: u32 = 16;
 
-/// A relay that has not been heard for this long does not share the limits.
-pub const ABSENT_TIME: Duration = Duration::from_secs(3);
+/// The time without a heartbeat after which a relay no longer shares the limits.
+pub const ABSENCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time in which relays that a new leader has not heard may still go by a former one's word: until it
-/// is over, one that no relay can tell their number takes them to be [`RELAYS_GUESSED`].
-const LEARN_TIME: Duration = Duration::from_secs(6);
+/// The time in which relays may still act on a former leader's answer without the new leader having heard
+/// from them. Until it is over, [`ASSUMED_RELAYS`] is used if no relay can tell their number.
+const TAKEOVER_TIME: Duration = Duration::from_secs(6);
 
-/// How long there are fewer relays than noted before the group notes that: longer than any of them goes by a lease.
-const FEWER_TIME: Duration = Duration::from_secs(10);
+/// How long there must be fewer relays than stored before the group stores the lower number. It is longer
+/// than any lease.
+const SHRINK_DELAY: Duration = Duration::from_secs(10);
 
-/// The relays that one leader has heard, and those that there may be beside.
+/// The relays that one leader has heard from, and those that may exist beyond them.
 #[derive(Debug)]
-pub struct Presence {
-    began: Instant,
-    /// The relays that were heard lately, and when.
+pub struct RelayPresence {
+    started_at: Instant,
+    /// The relays heard from recently, and when.
     heard: BTreeMap<BoxId, Instant>,
-    /// The most relays that a former leader told any of them of, or had the group note.
-    former: u32,
+    /// The highest number of relays that a former leader told one of them or had the group store.
+    former_relays: u32,
     /// The relays that no leader had told anything yet.
-    started: BTreeSet<BoxId>,
-    /// Whether one was heard that a leader had told something.
-    informed: bool,
-    /// What the group has noted; `None` until that is known.
-    noted: Option<u32>,
-    /// Since when there are fewer than noted, and the most since then.
-    fewer: Option<(Instant, u32)>,
+    uninformed: BTreeSet<BoxId>,
+    /// Whether any relay was heard from that a leader had told something.
+    has_informed: bool,
+    /// The number stored by the group, or `None` while unknown.
+    stored: Option<u32>,
+    /// Since when there are fewer relays than stored, and the highest number since then.
+    shrinking: Option<(Instant, u32)>,
 }
 
-impl Presence {
-    /// That of a leader which begins at `now`.
+impl RelayPresence {
+    /// The state of a leader that starts at `now`.
     pub fn new(now: Instant) -> Self {
         Self {
-            began: now,
+            started_at: now,
             heard: BTreeMap::new(),
-            former: 0,
-            started: BTreeSet::new(),
-            informed: false,
-            noted: None,
-            fewer: None,
+            former_relays: 0,
+            uninformed: BTreeSet::new(),
+            has_informed: false,
+            stored: None,
+            shrinking: None,
         }
     }
 
-    /// Records that a relay was heard; when it was heard before.
+    /// Records a heartbeat of a relay and returns when it was heard from before.
     pub fn record(&mut self, box_id: &BoxId, now: Instant) -> Option<Instant> {
         self.heard.insert(box_id.clone(), now)
     }
 
-    /// Forgets the relays that are gone.
-    pub fn sweep(&mut self, now: Instant) {
-        self.heard.retain(|_, heard| *heard + ABSENT_TIME > now);
+    /// Removes the relays that are gone.
+    pub fn remove_absent(&mut self, now: Instant) {
+        self.heard.retain(|_, heard| *heard + ABSENCE_TIMEOUT > now);
     }
 
-    /// Takes how many relays a former leader told a relay of; `None` from one that has just started.
-    pub fn learn(&mut self, box_id: &BoxId, relays: Option<u32>) {
+    /// Records the number of relays that a former leader told this relay, or `None` if it has just started.
+    pub fn record_told(&mut self, box_id: &BoxId, relays: Option<u32>) {
         match relays {
             Some(relays) => {
-                self.informed = true;
-                self.former = self.former.max(relays);
+                self.has_informed = true;
+                self.former_relays = self.former_relays.max(relays);
             }
-            None => drop(self.started.insert(box_id.clone())),
+            None => drop(self.uninformed.insert(box_id.clone())),
         }
     }
 
-    /// Whether all relays have started anew, as after a loss of all power: half of them have, and none that was
-    /// heard had been told anything. None of them holds anything on lease then.
-    fn all_started(&self) -> bool {
-        !self.informed && 2 * self.started.len() as u32 >= self.former
+    /// Whether all relays were restarted, as after a power failure: at least half of them were, and none
+    /// heard from had been told anything. No relay holds a lease then.
+    fn all_restarted(&self) -> bool {
+        !self.has_informed && 2 * self.uninformed.len() as u32 >= self.former_relays
     }
 
-    /// Takes what the group has noted. Only the note of a former leader counts as its word.
-    pub fn restore(&mut self, noted: u32) {
-        if self.noted.is_none() {
-            self.former = self.former.max(noted);
+    /// Records the number stored by the group. Only a former leader's number, the first one read, counts as
+    /// such.
+    pub fn record_stored(&mut self, stored: u32) {
+        if self.stored.is_none() {
+            self.former_relays = self.former_relays.max(stored);
         }
-        self.noted = Some(noted);
+        self.stored = Some(stored);
     }
 
     fn count(&self) -> u32 {
         self.heard.len() as u32
     }
 
-    /// Relays that share what is shared evenly, as far as can be told.
-    pub fn relays(&self, now: Instant) -> u32 {
+    /// The estimated number of relays that share the limits evenly.
+    pub fn estimated_relays(&self, now: Instant) -> u32 {
         let heard = self.count().max(1);
-        match self.former {
-            0 if now < self.began + LEARN_TIME => heard.max(RELAYS_GUESSED),
-            former => heard.max(former),
+        match self.former_relays {
+            0 if now < self.started_at + TAKEOVER_TIME => heard.max(ASSUMED_RELAYS),
+            former_relays => heard.max(former_relays),
         }
     }
 
-    /// Relays that this leader has not heard and a former one had. One at least until the group's note is known.
-    pub fn unheard(&self) -> u32 {
-        if self.noted.is_some() && self.all_started() {
+    /// The number of relays that this leader has not heard from but a former one had. At least one until the
+    /// stored number is known.
+    pub fn unheard_relays(&self) -> u32 {
+        if self.stored.is_some() && self.all_restarted() {
             return 0;
         }
-        let least = u32::from(self.noted.is_none());
-        self.former.saturating_sub(self.count().max(1)).max(least)
+        let least = u32::from(self.stored.is_none());
+        self.former_relays.saturating_sub(self.count().max(1)).max(least)
     }
 
-    /// How many relays the group is to note. More are noted at once, as the next leader may lead at any moment.
-    pub fn next_note(&mut self, now: Instant) -> Option<u32> {
-        let (noted, count) = (self.noted?, self.count());
-        if count >= noted || now < self.began + LEARN_TIME {
-            self.fewer = None;
-            return (count > noted).then_some(count);
+    /// The number of relays that the group should store, if it has to change. A higher number is stored at
+    /// once, as the leader may change at any moment.
+    pub fn next_stored(&mut self, now: Instant) -> Option<u32> {
+        let (stored, count) = (self.stored?, self.count());
+        if count >= stored || now < self.started_at + TAKEOVER_TIME {
+            self.shrinking = None;
+            return (count > stored).then_some(count);
         }
-        let (since, most) = self.fewer.get_or_insert((now, count));
+        let (since, most) = self.shrinking.get_or_insert((now, count));
         *most = count.max(*most);
-        (now >= *since + FEWER_TIME).then_some(*most)
+        (now >= *since + SHRINK_DELAY).then_some(*most)
     }
 }
--- a/src/decide/reclaim.rs
+++ b/src/decide/reclaim.rs
@@ -1,52 +1,54 @@
-//! What becomes of a stream whose engine is leaving: the way that recomputes the fewest tokens and
-//! fits the notice.
+//! Decides how a stream continues when its engine is about to leave: in the way that recomputes the fewest
+//! tokens and completes within the notice.
 
 use std::time::Duration;
 
 use crate::units::Tokens;
 
-/// Time kept free before the box goes.
-const MARGIN: Duration = Duration::from_millis(300);
+/// The safety margin before the engine's box is gone.
+const SAFETY_MARGIN: Duration = Duration::from_millis(300);
 
-/// What is known of the stream.
+/// What is known about the stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StreamFacts {
-    /// Time until the box goes.
+pub struct LeavingStream {
+    /// The time until the engine's box is gone.
     pub notice: Duration,
-    /// Tokens of the prompt.
-    pub prompt: Tokens,
-    /// Tokens delivered.
-    pub delivered: Tokens,
-    /// Tokens that remain at most.
-    pub remaining: Tokens,
-    /// Mean time between this stream's tokens.
-    pub between: Duration,
-    /// Time an export of the KV cache takes.
-    pub export: Duration,
-    /// Whether the request may run in two places one after the other.
+    /// The number of prompt tokens.
+    pub prompt_tokens: Tokens,
+    /// The number of delivered tokens.
+    pub delivered_tokens: Tokens,
+    /// The maximum number of remaining tokens.
+    pub remaining_tokens: Tokens,
+    /// The mean time between tokens of this stream.
+    pub token_interval: Duration,
+    /// The time that an export of the KV cache takes.
+    pub export_time: Duration,
+    /// Whether the request may be executed again elsewhere.
     pub repeatable: bool,
 }
 
-/// What to do with the stream.
+/// How a stream continues.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
-    /// It ends in time where it is.
+pub enum ReclaimAction {
+    /// It completes on its engine within the notice.
     Finish,
-    /// Take the KV cache along: nothing is recomputed.
+    /// It moves together with its KV cache; nothing is recomputed.
     Export,
-    /// Resume elsewhere from the prompt and the delivered tokens, which are read again.
+    /// It resumes elsewhere from the prompt and the delivered tokens, which have to be prefilled again.
     Resume,
 }
 
-/// Chooses the way.
-pub fn choose(facts: &StreamFacts) -> Way {
-    let time = facts.notice.saturating_sub(MARGIN);
-    let rest = facts.between.saturating_mul(facts.remaining.0.min(u64::from(u32::MAX)) as u32);
-    if rest <= time || !facts.repeatable {
-        return Way::Finish;
+/// Selects the way for a stream.
+pub fn choose_action(stream: &LeavingStream) -> ReclaimAction {
+    let available = stream.notice.saturating_sub(SAFETY_MARGIN);
+    let remaining_time = stream
+        .token_interval
+        .saturating_mul(stream.remaining_tokens.0.min(u64::from(u32::MAX)) as u32);
+    if remaining_time <= available || !stream.repeatable {
+        return ReclaimAction::Finish;
     }
-    if facts.export <= time {
-        return Way::Export;
+    if stream.export_time <= available {
+        return ReclaimAction::Export;
     }
-    Way::Resume
+    ReclaimAction::Resume
 }
--- a/src/decide/slowness.rs
+++ b/src/decide/slowness.rs
@@ -1,61 +1,61 @@
-//! Whom a box lets go because it takes its answer, or sends its request, too slowly.
+//! Decides which callers are disconnected because they read their answer, or send their request, too slowly.
 //!
-//! Answers callers who cost others something: an engine that is not read holds a place and its memory
-//! for one answer, and cuts it off after some seconds. What is slow depends on what the caller has
-//! done so far and on what its route allows.
+//! Such callers are a cost to others: an engine whose stream is not read holds a slot and its memory for one
+//! answer, and aborts it after some seconds. What counts as too slow depends on the caller's behaviour so
+//! far and on what its route allows.
 
 use std::time::Duration;
 
-/// A caller's silence that is borne, in the longest pauses that its route allows between events. One
-/// who gets nothing waits for twice as many.
-const PATIENT_GAPS: u32 = 4;
+/// The tolerated silence, as a multiple of the longest gap between events that the route allows. A caller
+/// that receives nothing waits for twice that gap.
+const TOLERATED_GAPS: u32 = 4;
 
-/// The least silence that is borne: a packet that is lost goes again after one second, and the next
-/// after two more.
-const LEAST_PATIENCE: Duration = Duration::from_secs(2);
+/// The minimum tolerated silence. TCP retransmits a lost packet after one second, and again after two more.
+const MIN_TOLERANCE: Duration = Duration::from_secs(2);
 
-/// Of a caller who has been silent before and went on, so many times that silence is borne.
-const KNOWN_PAUSES: u32 = 2;
+/// The tolerated silence of a caller that paused before and continued, as a multiple of that pause.
+const TOLERATED_PAUSES: u32 = 2;
 
-/// A caller whose answer cannot be taken up again is borne so many times as long: what it loses is lost.
-const ONCE_PATIENCE: u32 = 2;
+/// The factor by which a caller is tolerated longer if its answer can be neither resumed nor repeated and
+/// would be lost.
+const UNREPEATABLE_FACTOR: u32 = 2;
 
-/// How long in all an engine may wait for a caller, as a part of that patience: it cuts an answer off
-/// that sits unread for some seconds, and others wait for the place.
-const HELD_PART: u32 = 2;
+/// The divisor of the tolerance that gives how long an engine may wait for a caller in total. An engine
+/// aborts a stream that is not read for some seconds, and other requests wait for its slot.
+const MAX_BLOCKED_DIVISOR: u32 = 2;
 
-/// What a caller has taken of its answer.
+/// How a caller has read its answer so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Taking {
-    /// Bytes kept for it.
-    pub kept: u64,
-    /// Bytes it has taken.
-    pub taken: u64,
-    /// For how long something was kept for it, in all.
-    pub owed: Duration,
-    /// For how long something has been kept for it of which it took nothing.
-    pub silent: Duration,
-    /// The longest silence after which it went on.
-    pub longest: Duration,
-    /// For how long its engine has not been read, as there is no room.
-    pub held: Duration,
-    /// The time that the caller has left.
-    pub left: Duration,
+pub struct ReadProgress {
+    /// Bytes buffered for the caller.
+    pub buffered: u64,
+    /// Bytes read by the caller.
+    pub read: u64,
+    /// The total time in which data was buffered for it.
+    pub pending_time: Duration,
+    /// The time since it last read anything while data was buffered for it.
+    pub silent_time: Duration,
+    /// The longest pause after which it continued.
+    pub longest_pause: Duration,
+    /// The time for which its engine was not read for lack of buffer memory.
+    pub blocked_time: Duration,
+    /// The time left until the caller's deadline.
+    pub time_left: Duration,
 }
 
-/// In what a caller is too slow.
+/// Why a caller is too slow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Slow {
-    /// It takes nothing.
+pub enum Slowness {
+    /// It reads nothing.
     Silent,
-    /// It takes so little that its engine waits for it.
+    /// It reads so slowly that its engine has to wait.
     Holding,
-    /// It will not have its answer in its time.
+    /// It will not have read its answer by its deadline.
     Late,
 }
 
-impl Slow {
-    /// Its name, in logs and metrics.
+impl Slowness {
+    /// The name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Silent => "silent",
@@ -65,66 +65,71 @@
     }
 }
 
-/// How long a caller may take nothing, on a route that allows such a pause between events.
-pub fn patience(gap: Option<Duration>) -> Duration {
-    (gap.unwrap_or_default() * PATIENT_GAPS).max(LEAST_PATIENCE)
+/// How long a caller may read nothing, on a route that allows `gap` between events.
+pub fn tolerance(gap: Option<Duration>) -> Duration {
+    (gap.unwrap_or_default() * TOLERATED_GAPS).max(MIN_TOLERANCE)
 }
 
-/// Whether a caller is let go, and why; `again`: its answer can be taken up or had again.
-pub fn judge(taking: &Taking, gap: Option<Duration>, again: bool) -> Option<Slow> {
-    if taking.kept == 0 {
+/// Whether and why a caller is disconnected. `again` says whether its answer can be resumed or repeated.
+pub fn check_progress(
+    progress: &ReadProgress,
+    gap: Option<Duration>,
+    is_repeatable: bool,
+) -> Option<Slowness> {
+    if progress.buffered == 0 {
         return None;
     }
-    let usual = patience(gap);
-    // Neither its pauses nor what it loses let an engine wait for longer: the engine cuts off all alike.
-    if taking.held >= usual / HELD_PART {
-        return Some(Slow::Holding);
+    let usual = tolerance(gap);
+    // Neither earlier pauses nor the loss of the answer extend how long an engine may wait, as the engine
+    // aborts any stream that is not read.
+    if progress.blocked_time >= usual / MAX_BLOCKED_DIVISOR {
+        return Some(Slowness::Holding);
     }
-    let patience = usual.max(taking.longest * KNOWN_PAUSES);
-    let patience = if again { patience } else { patience * ONCE_PATIENCE };
-    if taking.silent >= patience {
-        return Some(Slow::Silent);
+    let tolerance = usual.max(progress.longest_pause * TOLERATED_PAUSES);
+    let tolerance = if is_repeatable { tolerance } else { tolerance * UNREPEATABLE_FACTOR };
+    if progress.silent_time >= tolerance {
+        return Some(Slowness::Silent);
     }
-    let known = taking.owed >= patience;
-    let late = known && time_to_take(taking) > taking.left;
-    late.then_some(Slow::Late)
+    let known = progress.pending_time >= tolerance;
+    let late = known && time_to_read(progress) > progress.time_left;
+    late.then_some(Slowness::Late)
 }
 
-/// How long the caller needs for what is kept, by what it has taken while something was.
-fn time_to_take(taking: &Taking) -> Duration {
-    let rate = taking.taken as f64 / taking.owed.as_secs_f64();
-    let seconds = taking.kept as f64 / rate;
+/// The time the caller needs for the buffered bytes at its rate so far.
+fn time_to_read(progress: &ReadProgress) -> Duration {
+    let rate = progress.read as f64 / progress.pending_time.as_secs_f64();
+    let seconds = progress.buffered as f64 / rate;
     Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
 }
 
-/// The part of its time after which a body is judged by what has come.
-const JUDGED_PART: u32 = 4;
+/// The divisor of a body's time limit after which its progress is judged.
+const GRACE_DIVISOR: u32 = 4;
 
-/// How much faster than so far the rest may come: links recover.
-const RECOVERY: f64 = 3.0;
+/// The factor by which the rest may arrive faster than the data so far, as connections may recover.
+const RECOVERY_FACTOR: f64 = 3.0;
 
-/// What has come of a body of known length.
+/// The progress of a request body of known length.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Arriving {
-    /// Bytes that came.
-    pub came: u64,
-    /// Bytes in all.
+pub struct BodyProgress {
+    /// Bytes received.
+    pub received: u64,
+    /// Bytes in total.
     pub length: u64,
-    /// The time they took.
-    pub passed: Duration,
-    /// The time there is in all.
-    pub time: Duration,
+    /// The time taken so far.
+    pub elapsed: Duration,
+    /// The time limit for the whole body.
+    pub limit: Duration,
 }
 
-/// Whether the body can still come whole in its time.
-pub fn can_arrive(arriving: &Arriving) -> bool {
-    let Arriving { came, length, passed, time } = *arriving;
-    if passed >= time {
+/// Whether the body can still arrive within its time limit.
+pub fn can_arrive(progress: &BodyProgress) -> bool {
+    let BodyProgress { received, length, elapsed, limit } = *progress;
+    if elapsed >= limit {
         return false;
     }
-    if passed < time / JUDGED_PART {
+    if elapsed < limit / GRACE_DIVISOR {
         return true;
     }
-    let rate = came as f64 / passed.as_secs_f64() * RECOVERY;
-    length.saturating_sub(came) as f64 <= rate * (time - passed).as_secs_f64()
+    let rate = received as f64 / elapsed.as_secs_f64() * RECOVERY_FACTOR;
+    length.saturating_sub(received) as f64 <= rate * (limit - elapsed).as_secs_f64()
 }
--- a/src/entry/generate.rs
+++ b/src/entry/generate.rs
@@ -10,7 +10,7 @@
 use crate::backend::Reuse;
 use crate::backend::engine::{self, EngineFault, EngineStream, Extra, Target};
 use crate::blackboard::fleet::Leaving;
-use crate::decide::reclaim::{self, StreamFacts, Way};
+use crate::decide::reclaim::{self, LeavingStream, ReclaimAction};
 use crate::error::{Failure, Kind};
 use crate::ids::AttemptId;
 use crate::node::Node;
@@ -251,22 +251,22 @@
     ) -> Option<AttemptEnd> {
         let delivered = Tokens(self.generation.len() as u64);
         let output = self.plan.completion.output;
-        let facts = StreamFacts {
+        let facts = LeavingStream {
             notice: word.gone.saturating_duration_since(Instant::now()),
-            prompt: self.plan.wanted.need.prompt,
-            delivered,
-            remaining: output.less(delivered),
-            between,
-            export: EXPORT_TIME,
+            prompt_tokens: self.plan.wanted.need.prompt,
+            delivered_tokens: delivered,
+            remaining_tokens: output.less(delivered),
+            token_interval: between,
+            export_time: EXPORT_TIME,
             repeatable: self.plan.repeatable,
         };
-        match reclaim::choose(&facts) {
-            Way::Finish => None,
-            Way::Resume => {
+        match reclaim::choose_action(&facts) {
+            ReclaimAction::Finish => None,
+            ReclaimAction::Resume => {
                 self.node.metrics.count_resume("resume");
                 Some(AttemptEnd::Move(None))
             }
-            Way::Export => {
+            ReclaimAction::Export => {
                 let target = Target { silence: EXPORT_TIME, ..*target };
                 let kv = engine::export(&self.node.pool, &target, attempt).await.ok();
                 self.node.metrics.count_resume(if kv.is_some() { "export" } else { "resume" });
--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -298,7 +298,7 @@
 fn record_load(relay: &Relay, known: &KnownServer, load: ServerLoad) {
     known.state.report(load.running, load.waiting, Duration::ZERO);
     let requests = load.running + load.waiting;
-    relay.loads().note(known.key(), requests, Instant::now());
+    relay.loads().record(known.key(), requests, Instant::now());
 }
 
 fn build_request(
--- a/src/relay/keeping.rs
+++ b/src/relay/keeping.rs
@@ -13,7 +13,7 @@
 use crate::decide::memory::{
     MemoryBudget, MemoryClaim, MemoryLimitExceeded, MemoryReservation, Purpose,
 };
-use crate::decide::slowness::{Arriving, can_arrive};
+use crate::decide::slowness::{BodyProgress, can_arrive};
 use crate::error::{Failure, Kind};
 use crate::http::charged::guarded;
 use crate::http::gate::{Busy, Link};
@@ -146,7 +146,12 @@
             if Instant::now() >= look {
                 let (came, passed) = (self.held.len() as u64, began.elapsed());
                 let length = length.unwrap_or_default();
-                if !can_arrive(&Arriving { came, length, passed, time }) {
+                if !can_arrive(&BodyProgress {
+                    received: came,
+                    length,
+                    elapsed: passed,
+                    limit: time,
+                }) {
                     let what = if passed < time { "cannot" } else { "did not" };
                     let text = format!("the body {what} arrive in time: {came} bytes came");
                     return Err(Failure::new(Kind::SlowCaller, text));
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -77,7 +77,7 @@
 use crate::decide::loads::LoadPool;
 use crate::decide::memory::MemoryBudget;
 use crate::decide::pause::Pauses;
-use crate::decide::presence::RELAYS_GUESSED;
+use crate::decide::presence::ASSUMED_RELAYS;
 use crate::decide::quarantine::BoxQuarantine;
 use crate::decide::releases::{AnswerOutcome, ReleaseTable};
 use crate::decide::retry_budgets::RetryBudgets;
@@ -384,7 +384,7 @@
 
     /// Number of relays that share the rate limits; an estimate until the leader has reported one.
     pub fn relay_count(&self) -> u32 {
-        self.known_relay_count().unwrap_or(RELAYS_GUESSED)
+        self.known_relay_count().unwrap_or(ASSUMED_RELAYS)
     }
 
     /// Number of relays that share the rate limits, if the leader has reported it.
--- a/src/relay/moving.rs
+++ b/src/relay/moving.rs
@@ -24,7 +24,7 @@
 use super::table::{EngineSpec, Route};
 use crate::backend::{Reuse, SendFault};
 use crate::blackboard::fleet::Leaving;
-use crate::decide::reclaim::{self, StreamFacts, Way};
+use crate::decide::reclaim::{self, LeavingStream, ReclaimAction};
 use crate::ids::ServiceName;
 use crate::units::Tokens;
 
@@ -85,17 +85,18 @@
     };
     let delivered = events * spec.event.0;
     let expected_output = (size.max_output_tokens as f64 * EXPECTED_OUTPUT_SHARE) as u64;
-    let facts = StreamFacts {
+    let facts = LeavingStream {
         notice: leaving.gone.saturating_duration_since(Instant::now()),
-        prompt: Tokens(size.prompt_tokens),
-        delivered: Tokens(delivered),
-        remaining: Tokens(expected_output).less(Tokens(delivered)),
-        between: source.sent_at.elapsed() / u32::try_from(delivered.max(1)).unwrap_or(u32::MAX),
-        export: export_time(&spec, size.prompt_tokens + delivered),
+        prompt_tokens: Tokens(size.prompt_tokens),
+        delivered_tokens: Tokens(delivered),
+        remaining_tokens: Tokens(expected_output).less(Tokens(delivered)),
+        token_interval: source.sent_at.elapsed()
+            / u32::try_from(delivered.max(1)).unwrap_or(u32::MAX),
+        export_time: export_time(&spec, size.prompt_tokens + delivered),
         // A moved run is not repeated, so this holds for every route.
         repeatable: true,
     };
-    reclaim::choose(&facts) == Way::Export
+    reclaim::choose_action(&facts) == ReclaimAction::Export
 }
 
 fn export_time(spec: &EngineSpec, tokens: u64) -> Duration {
--- a/src/relay/part_loads.rs
+++ b/src/relay/part_loads.rs
@@ -68,7 +68,12 @@
     let of_part = |it: &PartLoads| {
         let samples = it.loads.iter().filter_map(|load| {
             let ServerKey { id, life } = find(it.part, load.index as usize)?;
-            Some(LoadSample { server: id, life, requests: load.requests, age: load.age })
+            Some(LoadSample {
+                server: id,
+                incarnation: life,
+                requests: load.requests,
+                age: load.age,
+            })
         });
         samples.collect::<Vec<_>>()
     };
--- a/src/relay/pick.rs
+++ b/src/relay/pick.rs
@@ -18,7 +18,7 @@
 };
 use crate::decide::distance::{Copying, Distance, fetch_saves, kilobytes};
 use crate::decide::engine::EngineModel;
-use crate::decide::filling::{Filling, have_room};
+use crate::decide::filling::{EngineUsage, have_room};
 use crate::decide::releases::ReleaseChoice;
 use crate::decide::topology::Reach;
 use crate::ids::{BackendId, ServiceName};
@@ -242,10 +242,10 @@
         let Some(spec) = &self.engine else {
             return vec![true; open.len()];
         };
-        let filling = open.iter().zip(others).map(|(it, others)| Filling {
-            own: it.known.state.in_flight(),
-            tokens: it.known.reserved_tokens(),
-            others: *others,
+        let filling = open.iter().zip(others).map(|(it, others)| EngineUsage {
+            own_requests: it.known.state.in_flight(),
+            own_tokens: it.known.reserved_tokens(),
+            other_requests: *others,
         });
         have_room(spec.memory, &filling.collect::<Vec<_>>(), self.call.max_tokens())
     }
--- a/src/relay/servers.rs
+++ b/src/relay/servers.rs
@@ -198,8 +198,8 @@
         let mut by_service: BTreeMap<ServiceName, Vec<_>> = BTreeMap::new();
         for load in loads {
             let known = listed.by_id.get(&load.server);
-            if let Some(known) = known.filter(|known| known.life.matches(load.life)) {
-                let requests = load.faded(known.state.service_time()).round() as u32;
+            if let Some(known) = known.filter(|known| known.life.matches(load.incarnation)) {
+                let requests = load.decayed_requests(known.state.service_time()).round() as u32;
                 known.state.report(requests, 0, Duration::ZERO);
                 by_service.entry(known.server.service.clone()).or_default().push(known.clone());
             }
--- a/src/relay/taking.rs
+++ b/src/relay/taking.rs
@@ -25,7 +25,7 @@
 use super::keeping::Kept;
 use super::table::Route;
 use crate::decide::memory::{MemoryClaim, MemoryReservation, Purpose};
-use crate::decide::slowness::{Slow, Taking, judge};
+use crate::decide::slowness::{ReadProgress, Slowness, check_progress};
 use crate::http::charged::guarded;
 use crate::http::{Body, whole};
 use crate::sync::lock;
@@ -118,20 +118,20 @@
         self.taken.notify_one();
     }
 
-    fn snapshot(&self, held: Duration, left: Duration) -> Taking {
+    fn snapshot(&self, held: Duration, left: Duration) -> ReadProgress {
         let progress = self.progress();
         let now = Instant::now();
         let owing = progress
             .kept_since
             .map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
-        Taking {
-            kept: progress.kept_bytes,
-            taken: progress.taken_bytes,
-            owed: progress.time_owing + owing,
-            silent: now.saturating_duration_since(progress.last_taken_at),
-            longest: progress.longest_pause,
-            held,
-            left,
+        ReadProgress {
+            buffered: progress.kept_bytes,
+            read: progress.taken_bytes,
+            pending_time: progress.time_owing + owing,
+            silent_time: now.saturating_duration_since(progress.last_taken_at),
+            longest_pause: progress.longest_pause,
+            blocked_time: held,
+            time_left: left,
         }
     }
 }
@@ -308,7 +308,8 @@
         self.check_timer = Box::pin(sleep(CHECK_INTERVAL));
         let held = self.held_since.map_or(Duration::ZERO, |since| since.elapsed());
         let taking = self.state.snapshot(held, self.call.time_left());
-        let Some(slow) = judge(&taking, self.route.gap, self.route.repeat.is_repeatable()) else {
+        let Some(slow) = check_progress(&taking, self.route.gap, self.route.repeat.is_repeatable())
+        else {
             return false;
         };
         self.log_slow_caller(slow, &taking);
@@ -316,7 +317,7 @@
         true
     }
 
-    fn log_slow_caller(&self, slow: Slow, taking: &Taking) {
+    fn log_slow_caller(&self, slow: Slowness, taking: &ReadProgress) {
         let team = self.call.team.as_ref().map_or("-", |team| team.as_str());
         self.relay.context.metrics.count_request(team, "caller_slow");
         tracing::info!(
@@ -325,11 +326,11 @@
             route = self.route.name,
             team,
             reason = slow.name(),
-            kept = taking.kept,
-            taken = taking.taken,
-            silent_ms = taking.silent.as_millis() as u64,
-            held_ms = taking.held.as_millis() as u64,
-            left_ms = taking.left.as_millis() as u64,
+            kept = taking.buffered,
+            taken = taking.read,
+            silent_ms = taking.silent_time.as_millis() as u64,
+            held_ms = taking.blocked_time.as_millis() as u64,
+            left_ms = taking.time_left.as_millis() as u64,
         );
     }
 }
--- a/tests/control_bytes.rs
+++ b/tests/control_bytes.rs
@@ -77,7 +77,7 @@
 fn loads(fleet: &Fleet, count: u64) -> Vec<LoadSample> {
     let load = |place: u64| LoadSample {
         server: server(place % fleet.servers),
-        life: LIFE,
+        incarnation: LIFE,
         requests: (place % 12) as u32,
         age: Millis(place * 37 % 4_000),
     };
@@ -325,7 +325,7 @@
     let drawn: Vec<_> = [7, 8, 0, 2, 3]
         .map(|place| LoadSample {
             server: server(place),
-            life: LIFE,
+            incarnation: LIFE,
             requests: 4,
             age: Millis(place),
         })
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -6,7 +6,7 @@
 use emberturn::blackboard::fleet::{SUBSET, subset};
 use emberturn::decide::admission::{Admission, TeamLimit};
 use emberturn::decide::queue::{WaitQueue, Waiter};
-use emberturn::decide::reclaim::{StreamFacts, Way, choose as choose_way};
+use emberturn::decide::reclaim::{LeavingStream, ReclaimAction, choose_action};
 use emberturn::decide::retry::RetryBudget;
 use emberturn::decide::route::{Candidate, Need, choose};
 use emberturn::decide::share::{LEASE_MS, Lessor, Share, Shares};
@@ -179,20 +179,20 @@
     fn way_fits_the_notice(
         notice in 0_u64..20_000, remaining in 0_u64..4_000, between in 1_u64..100, repeatable: bool,
     ) {
-        let facts = StreamFacts {
+        let facts = LeavingStream {
             notice: Duration::from_millis(notice),
-            prompt: Tokens(500),
-            delivered: Tokens(10),
-            remaining: Tokens(remaining),
-            between: Duration::from_millis(between),
-            export: Duration::from_millis(500),
+            prompt_tokens: Tokens(500),
+            delivered_tokens: Tokens(10),
+            remaining_tokens: Tokens(remaining),
+            token_interval: Duration::from_millis(between),
+            export_time: Duration::from_millis(500),
             repeatable,
         };
         let fits = remaining * between < notice;
-        match choose_way(&facts) {
-            Way::Finish => prop_assert!(fits || !repeatable || remaining == 0),
-            Way::Export => prop_assert!(notice >= 500 && repeatable),
-            Way::Resume => prop_assert!(repeatable && notice < 1_000),
+        match choose_action(&facts) {
+            ReclaimAction::Finish => prop_assert!(fits || !repeatable || remaining == 0),
+            ReclaimAction::Export => prop_assert!(notice >= 500 && repeatable),
+            ReclaimAction::Resume => prop_assert!(repeatable && notice < 1_000),
         }
     }
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant, UNIX_EPOCH};
 
 use emberturn::decide::allowance::{Allowances, DemandReport, Grant, LEASE_DURATION, TeamDemand};
-use emberturn::decide::presence::Presence;
+use emberturn::decide::presence::RelayPresence;
 use emberturn::decide::retry_budgets::{RetryBudgets, RetryLimit};
 use emberturn::decide::token_bucket::{RateLimit, ReserveNote, TeamReport, TokenBucket, Tolerance};
 use emberturn::ids::{BoxId, Incarnation, ServiceName, TeamName, Window};
@@ -460,8 +460,8 @@
 }
 
 /// The presence at a leader that starts at `now` and hears these boxes.
-fn presence(boxes: &[&str], now: Instant) -> Presence {
-    let mut presence = Presence::new(now);
+fn presence(boxes: &[&str], now: Instant) -> RelayPresence {
+    let mut presence = RelayPresence::new(now);
     for name in boxes {
         presence.record(&name.parse().unwrap(), now);
     }
@@ -473,45 +473,45 @@
     let now = Instant::now();
     let mut leader = presence(&["box-1"], now);
     // A box that has just started heard nothing from the former leader.
-    leader.learn(&"box-1".parse().unwrap(), None);
-    assert_eq!(leader.unheard(), 1, "before the note is known");
-    leader.restore(4);
-    assert_eq!(leader.unheard(), 3);
-    assert_eq!(leader.relays(now), 4);
+    leader.record_told(&"box-1".parse().unwrap(), None);
+    assert_eq!(leader.unheard_relays(), 1, "before the note is known");
+    leader.record_stored(4);
+    assert_eq!(leader.unheard_relays(), 3);
+    assert_eq!(leader.estimated_relays(now), 4);
 }
 
 #[test]
 fn higher_box_count_is_noted_at_once_and_lower_one_after_the_leases() {
     let now = Instant::now();
     let mut leader = presence(&["box-1", "box-2", "box-3"], now);
-    assert_eq!(leader.next_note(now), None, "before the note is known");
-    leader.restore(2);
-    assert_eq!(leader.next_note(now), Some(3));
-    leader.restore(3);
+    assert_eq!(leader.next_stored(now), None, "before the note is known");
+    leader.record_stored(2);
+    assert_eq!(leader.next_stored(now), Some(3));
+    leader.record_stored(3);
     let later = now + Duration::from_secs(60);
     leader.record(&"box-1".parse().unwrap(), later);
-    leader.sweep(later);
-    assert_eq!(leader.next_note(later), None);
-    assert_eq!(leader.next_note(later + LEASE_DURATION), None);
-    assert_eq!(leader.next_note(later + LEASE_DURATION * 2), Some(1));
+    leader.remove_absent(later);
+    assert_eq!(leader.next_stored(later), None);
+    assert_eq!(leader.next_stored(later + LEASE_DURATION), None);
+    assert_eq!(leader.next_stored(later + LEASE_DURATION * 2), Some(1));
 }
 
 #[test]
 fn leader_does_not_wait_for_leases_of_restarted_boxes() {
     let now = Instant::now();
     let mut leader = presence(&["box-1"], now);
-    leader.restore(4);
-    leader.learn(&"box-1".parse().unwrap(), None);
-    assert_eq!(leader.unheard(), 3);
+    leader.record_stored(4);
+    leader.record_told(&"box-1".parse().unwrap(), None);
+    assert_eq!(leader.unheard_relays(), 3);
     // Further demands before its first heartbeat, and its next incarnation, do not count as another box.
-    leader.learn(&"box-1".parse().unwrap(), None);
-    leader.learn(&"box-1".parse().unwrap(), None);
-    assert_eq!(leader.unheard(), 3);
+    leader.record_told(&"box-1".parse().unwrap(), None);
+    leader.record_told(&"box-1".parse().unwrap(), None);
+    assert_eq!(leader.unheard_relays(), 3);
     leader.record(&"box-2".parse().unwrap(), now);
-    leader.learn(&"box-2".parse().unwrap(), None);
-    assert_eq!(leader.unheard(), 0);
+    leader.record_told(&"box-2".parse().unwrap(), None);
+    assert_eq!(leader.unheard_relays(), 0);
     // A box that heard a former leader shows that not all boxes have restarted.
     leader.record(&"box-3".parse().unwrap(), now);
-    leader.learn(&"box-3".parse().unwrap(), Some(4));
-    assert_eq!(leader.unheard(), 1);
+    leader.record_told(&"box-3".parse().unwrap(), Some(4));
+    assert_eq!(leader.unheard_relays(), 1);
 }
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -2,9 +2,11 @@
 
 use std::time::Duration;
 
-use emberturn::decide::filling::{Filling, have_room};
+use emberturn::decide::filling::{EngineUsage, have_room};
 use emberturn::decide::memory::{MemoryBudget, MemoryClaim, MemoryReservation, Purpose};
-use emberturn::decide::slowness::{Arriving, Slow, Taking, can_arrive, judge};
+use emberturn::decide::slowness::{
+    BodyProgress, ReadProgress, Slowness, can_arrive, check_progress,
+};
 use emberturn::units::{ByteSize, Tokens};
 use proptest::prelude::*;
 use yare::parameterized;
@@ -158,47 +160,47 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// A caller for whom 10 kB are kept, who takes 10 kB a second and has ten seconds left.
-fn taking() -> Taking {
-    Taking {
-        kept: 10_000,
-        taken: 30_000,
-        owed: 3 * SECOND,
-        silent: SECOND / 10,
-        longest: SECOND / 2,
-        held: Duration::ZERO,
-        left: 10 * SECOND,
+fn taking() -> ReadProgress {
+    ReadProgress {
+        buffered: 10_000,
+        read: 30_000,
+        pending_time: 3 * SECOND,
+        silent_time: SECOND / 10,
+        longest_pause: SECOND / 2,
+        blocked_time: Duration::ZERO,
+        time_left: 10 * SECOND,
     }
 }
 
 #[parameterized(
     takes = { taking(), None },
-    has_all = { Taking { kept: 0, silent: 60 * SECOND, ..taking() }, None },
-    silent = { Taking { silent: 3 * SECOND, ..taking() }, Some(Slow::Silent) },
-    known_to_pause = { Taking { silent: 3 * SECOND, longest: 2 * SECOND, ..taking() }, None },
-    engine_waits = { Taking { held: 2 * SECOND, ..taking() }, Some(Slow::Holding) },
+    has_all = { ReadProgress { buffered: 0, silent_time: 60 * SECOND, ..taking() }, None },
+    silent = { ReadProgress { silent_time: 3 * SECOND, ..taking() }, Some(Slowness::Silent) },
+    known_to_pause = { ReadProgress { silent_time: 3 * SECOND, longest_pause: 2 * SECOND, ..taking() }, None },
+    engine_waits = { ReadProgress { blocked_time: 2 * SECOND, ..taking() }, Some(Slowness::Holding) },
     pauses_do_not_hold_engines = {
-        Taking { held: 2 * SECOND, longest: 9 * SECOND, ..taking() }, Some(Slow::Holding)
+        ReadProgress { blocked_time: 2 * SECOND, longest_pause: 9 * SECOND, ..taking() }, Some(Slowness::Holding)
     },
-    too_little = { Taking { kept: 1_000_000, ..taking() }, Some(Slow::Late) },
-    too_little_not_known_yet = { Taking { kept: 1_000_000, owed: SECOND, taken: 1, ..taking() }, None },
+    too_little = { ReadProgress { buffered: 1_000_000, ..taking() }, Some(Slowness::Late) },
+    too_little_not_known_yet = { ReadProgress { buffered: 1_000_000, pending_time: SECOND, read: 1, ..taking() }, None },
 )]
-fn caller_is_let_go_by_what_it_takes(taking: Taking, slow: Option<Slow>) {
-    assert_eq!(judge(&taking, Some(SECOND / 10), true), slow);
+fn caller_is_let_go_by_what_it_takes(taking: ReadProgress, slow: Option<Slowness>) {
+    assert_eq!(check_progress(&taking, Some(SECOND / 10), true), slow);
 }
 
 #[test]
 fn route_with_long_pauses_bears_a_longer_silence() {
-    let taking = Taking { silent: 3 * SECOND, ..taking() };
-    assert_eq!(judge(&taking, Some(SECOND), true), None);
+    let taking = ReadProgress { silent_time: 3 * SECOND, ..taking() };
+    assert_eq!(check_progress(&taking, Some(SECOND), true), None);
 }
 
 #[test]
 fn caller_whose_answer_cannot_be_had_again_is_borne_longer() {
-    let taking = Taking { silent: 3 * SECOND, ..taking() };
-    assert_eq!(judge(&taking, Some(SECOND / 10), false), None);
+    let taking = ReadProgress { silent_time: 3 * SECOND, ..taking() };
+    assert_eq!(check_progress(&taking, Some(SECOND / 10), false), None);
     // Not where its engine waits: that cuts it off in any case.
-    let holding = Taking { held: 2 * SECOND, ..taking };
-    assert_eq!(judge(&holding, Some(SECOND / 10), false), Some(Slow::Holding));
+    let holding = ReadProgress { blocked_time: 2 * SECOND, ..taking };
+    assert_eq!(check_progress(&holding, Some(SECOND / 10), false), Some(Slowness::Holding));
 }
 
 #[parameterized(
@@ -211,28 +213,33 @@
     time_is_over = { 3_999, 10, false },
 )]
 fn body_is_refused_once_it_cannot_arrive(came: u64, passed: u32, can: bool) {
-    let arriving = Arriving { came, length: 4_000, passed: passed * SECOND, time: 10 * SECOND };
+    let arriving = BodyProgress {
+        received: came,
+        length: 4_000,
+        elapsed: passed * SECOND,
+        limit: 10 * SECOND,
+    };
     assert_eq!(can_arrive(&arriving), can);
 }
 
-const EMPTY: Filling = Filling { own: 0, tokens: 0, others: 0.0 };
+const EMPTY: EngineUsage = EngineUsage { own_requests: 0, own_tokens: 0, other_requests: 0.0 };
 
 #[parameterized(
     empty = { EMPTY, true },
-    some_of_ours = { Filling { own: 2, tokens: 6_000, ..EMPTY }, true },
-    full_of_ours = { Filling { own: 3, tokens: 9_000, ..EMPTY }, false },
-    full_of_others = { Filling { others: 3.0, ..EMPTY }, false },
-    full_together = { Filling { own: 1, tokens: 3_000, others: 2.0 }, false },
+    some_of_ours = { EngineUsage { own_requests: 2, own_tokens: 6_000, ..EMPTY }, true },
+    full_of_ours = { EngineUsage { own_requests: 3, own_tokens: 9_000, ..EMPTY }, false },
+    full_of_others = { EngineUsage { other_requests: 3.0, ..EMPTY }, false },
+    full_together = { EngineUsage { own_requests: 1, own_tokens: 3_000, other_requests: 2.0 }, false },
 )]
-fn engine_without_memory_left_has_no_room(engine: Filling, has_room: bool) {
-    let engines = [engine, Filling { own: 1, tokens: 3_000, ..EMPTY }];
+fn engine_without_memory_left_has_no_room(engine: EngineUsage, has_room: bool) {
+    let engines = [engine, EngineUsage { own_requests: 1, own_tokens: 3_000, ..EMPTY }];
     assert_eq!(have_room(Tokens(10_000), &engines, 3_000), [has_room, true]);
 }
 
 #[test]
 fn others_requests_are_taken_to_be_as_long_as_ours() {
-    let short = [Filling { own: 1, tokens: 100, others: 20.0 }, EMPTY];
+    let short = [EngineUsage { own_requests: 1, own_tokens: 100, other_requests: 20.0 }, EMPTY];
     assert_eq!(have_room(Tokens(10_000), &short, 100), [true, true]);
-    let long = [Filling { own: 1, tokens: 1_000, others: 20.0 }, EMPTY];
+    let long = [EngineUsage { own_requests: 1, own_tokens: 1_000, other_requests: 20.0 }, EMPTY];
     assert_eq!(have_room(Tokens(10_000), &long, 1_000), [false, true]);
 }
--- a/tests/placing.rs
+++ b/tests/placing.rs
@@ -61,7 +61,7 @@
         let base = Instant::now();
         let ids: Vec<_> = (0..engines).map(id).collect();
         let mut pool = LoadPool::default();
-        pool.follow(ids.iter(), base);
+        pool.update_servers(ids.iter(), base);
         Self {
             rng: SmallRng::seed_from_u64(5),
             base,
@@ -81,15 +81,15 @@
     /// The box's word to the leader, and the answer.
     fn beat(&mut self, place: usize, now: f64) {
         let at = self.instant(now);
-        let told = self.told[place].take(at);
-        self.pool.hear(told, at);
+        let told = self.told[place].drain(at);
+        self.pool.record_samples(told, at);
         self.fresh[place].clear();
         let all: Vec<_> = (0..self.engines.len()).map(id).collect();
         let all: Vec<_> = all.iter().collect();
-        for load in self.pool.draw(&all, at, self.rng.random()) {
+        for load in self.pool.sample(&all, at, self.rng.random()) {
             self.fresh[place].push(self.places[&load.server]);
             let engine = self.places[&load.server];
-            self.known[place].insert(engine, (load.faded(Some(1.0)), now));
+            self.known[place].insert(engine, (load.decayed_requests(Some(1.0)), now));
         }
     }
 
@@ -132,7 +132,7 @@
         let requests = ends.len() as u32;
         self.known[place].insert(engine, (f64::from(requests), now));
         let at = self.instant(now);
-        self.told[place].note(id(engine), requests, at);
+        self.told[place].record(id(engine), requests, at);
         waits
     }
 
@@ -231,24 +231,24 @@
         let mut newest = HashMap::new();
         for (server, requests, age) in words {
             let life = Incarnation(0);
-            let told = LoadSample { server: id(server), life, requests, age: Millis(age) };
-            pool.hear(vec![told], now);
+            let told = LoadSample { server: id(server), incarnation: life, requests, age: Millis(age) };
+            pool.record_samples(vec![told], now);
             let held = newest.entry(id(server)).or_insert((age, requests));
             if age < held.0 {
                 *held = (age, requests);
             }
         }
         let there: Vec<_> = (20..90).map(id).collect();
-        pool.follow(there.iter(), now);
+        pool.update_servers(there.iter(), now);
         let listed: Vec<_> = there.iter().collect();
-        let drawn = pool.draw(&listed, now, random);
+        let drawn = pool.sample(&listed, now, random);
         prop_assert!(!drawn.is_empty() && drawn.len() < there.len());
         for load in &drawn {
             prop_assert!(there.contains(&load.server));
             let newest = newest.get(&load.server).copied().unwrap_or((0, 0));
             prop_assert_eq!(newest, (load.age.0, load.requests));
         }
-        prop_assert_eq!(pool.take(now).len(), there.len());
-        prop_assert!(pool.draw(&listed, now, random).is_empty());
+        prop_assert_eq!(pool.drain(now).len(), there.len());
+        prop_assert!(pool.sample(&listed, now, random).is_empty());
     }
 }
--- a/tests/server_lives.rs
+++ b/tests/server_lives.rs
@@ -131,7 +131,7 @@
             }
             Word::Load(requests) => {
                 let (server, age) = (server(false).id, Millis(0));
-                self.book.apply_loads(&[LoadSample { server, life, requests, age }]);
+                self.book.apply_loads(&[LoadSample { server, incarnation: life, requests, age }]);
             }
             Word::Failed if life == self.first.incarnation() => {
                 while !self.first.state.fail() {}
@@ -217,12 +217,12 @@
         let mut pool = LoadPool::default();
         for (life, age, requests) in &words {
             let (life, age) = (Incarnation(*life), Millis(*age));
-            let told = LoadSample { server: server(false).id, life, requests: *requests, age };
-            pool.hear(vec![told], now);
+            let told = LoadSample { server: server(false).id, incarnation: life, requests: *requests, age };
+            pool.record_samples(vec![told], now);
         }
         let best = words.iter().map(|(life, age, _)| (*life, 1_000 - age)).max().unwrap();
-        let drawn = pool.draw(&[&server(false).id], now, random);
-        prop_assert_eq!((drawn[0].life.0, 1_000 - drawn[0].age.0), best);
+        let drawn = pool.sample(&[&server(false).id], now, random);
+        prop_assert_eq!((drawn[0].incarnation.0, 1_000 - drawn[0].age.0), best);
     }
 }
 
--- a/tests/team_limit.rs
+++ b/tests/team_limit.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use emberturn::decide::allowance::{Allowances, DemandReport, Grant};
-use emberturn::decide::presence::Presence;
+use emberturn::decide::presence::RelayPresence;
 use emberturn::decide::token_bucket::{RateLimit, ReserveNote, TeamReport, TokenBucket, Tolerance};
 use emberturn::ids::{BoxId, Incarnation, TeamName};
 use proptest::prelude::*;
@@ -89,7 +89,7 @@
     ticked_at: f64,
     /// The time from which on there is a leader.
     leads_from: f64,
-    presence: Presence,
+    presence: RelayPresence,
     /// The boxes that this leader has heard, by place and incarnation. Only the first message of each tells what the
     /// box knows from a former leader.
     heard: BTreeSet<(usize, u64)>,
@@ -127,14 +127,14 @@
             note_due: None,
             ticked_at: 0.0,
             leads_from: 0.0,
-            presence: Presence::new(base),
+            presence: RelayPresence::new(base),
             heard: BTreeSet::new(),
             noted_relays: 0,
             relays_due: None,
             admitted: Vec::new(),
             refused: 0.0,
         };
-        simulation.presence.restore(0);
+        simulation.presence.record_stored(0);
         let team = simulation.team.clone();
         for entry in &mut simulation.boxes {
             entry.allowances.set_limited_teams([&team].into_iter(), base);
@@ -190,7 +190,7 @@
     fn tick(&mut self, now: f64) {
         let limit = enforced_limit(&self.scenario);
         self.note_relays(now);
-        let unheard = self.presence.unheard();
+        let unheard = self.presence.unheard_relays();
         let Some(bucket) = self.bucket.as_mut().filter(|_| now >= self.ticked_at + TICK_INTERVAL)
         else {
             return;
@@ -213,10 +213,10 @@
         }
         if let Some((_, relays)) = self.relays_due.take_if(|(due, _)| *due <= now) {
             self.noted_relays = relays;
-            self.presence.restore(relays);
+            self.presence.record_stored(relays);
         }
         if self.relays_due.is_none() {
-            let next = self.presence.next_note(at);
+            let next = self.presence.next_stored(at);
             self.relays_due = next.map(|relays| (now + NOTE_TIME, relays));
         }
     }
@@ -229,8 +229,8 @@
         // A note that is not stored yet may be lost with the leader. The next one reads the notes first.
         self.relays_due = None;
         self.heard.clear();
-        self.presence = Presence::new(self.instant(until));
-        self.presence.restore(self.noted_relays);
+        self.presence = RelayPresence::new(self.instant(until));
+        self.presence.record_stored(self.noted_relays);
     }
 
     /// Sends the callers' requests of one step to a box, and retries those that wait.
@@ -318,7 +318,7 @@
     fn record_first_message(&mut self, place: usize) {
         let entry = &self.boxes[place];
         if self.heard.insert((place, entry.incarnation)) {
-            self.presence.learn(&entry.id, Some(entry.relays).filter(|relays| *relays > 0));
+            self.presence.record_told(&entry.id, Some(entry.relays).filter(|relays| *relays > 0));
         }
     }
 
@@ -332,7 +332,7 @@
         let entry = &self.boxes[place];
         let (incarnation, id, limit) =
             (Incarnation(entry.incarnation), entry.id.clone(), enforced_limit(&self.scenario));
-        let unheard = self.presence.unheard();
+        let unheard = self.presence.unheard_relays();
         let bucket = self.bucket.get_or_insert_with(|| TokenBucket::new(now));
         let demand = report.teams.get(&self.team).copied();
         let report = demand.map(|demand| TeamReport { incarnation, seq: report.seq, demand });
@@ -357,7 +357,7 @@
         self.record_first_message(place);
         let grants = self.grant(place, now, &report);
         self.presence.record(&id, at);
-        let relays = self.presence.relays(at);
+        let relays = self.presence.estimated_relays(at);
         let entry = &mut self.boxes[place];
         let delay = self.rng.random_range(0.0..self.scenario.max_delay);
         if !self.rng.random_bool(self.scenario.loss) {
