--- a/bench/src/decisions.rs
+++ b/bench/src/decisions.rs
@@ -7,13 +7,13 @@
 
 use emberturn::decide::allowance::TeamDemand;
 use emberturn::decide::choose::{
-    Candidate as ServerCandidate, LoadEstimate, affinity, choose as choose_server,
-    choose_over_regions, compares_all, drawn, looks_further, neighbours, others_by_region,
-    others_now,
+    BackendCandidate, LoadEstimate, affinity, affinity_group, choose as choose_server,
+    choose_over_regions, compares_all, estimate_other_requests, estimate_other_requests_by_region,
+    sample_indices, should_search_farther,
 };
 use emberturn::decide::distance::{ByteWeights, Distance, Distances, kilobytes};
 use emberturn::decide::engine::EngineModel;
-use emberturn::decide::policy::{Facts, Policies};
+use emberturn::decide::policy::{Policies, PolicyInput};
 use emberturn::decide::route::{Candidate, Need, choose};
 use emberturn::decide::token_bucket::{RateLimit, ReserveNote, TeamReport, TokenBucket};
 use emberturn::decide::topology::Reach;
@@ -127,13 +127,14 @@
     mean(|| {
         part += 1;
         let at = hashes.partition_point(|hash| *hash < affinity(part, 0));
-        let near = neighbours(count, at).into_iter();
+        let near = affinity_group(count, at).into_iter();
         let home = near.max_by_key(|place| affinity(part, hashes[*place]));
         let mut places = if compares_all(count) { (0..count).collect() } else { few(count) };
         places.extend(home);
         let word = |place: &usize| Some(LoadEstimate { requests: (*place % 12) as f64, age: 0.4 });
         let words: Vec<_> = places.iter().map(word).collect();
-        let candidates: Vec<_> = others_now(&words, Some(1.0)).into_iter().map(server).collect();
+        let candidates: Vec<_> =
+            estimate_other_requests(&words, Some(1.0)).into_iter().map(server).collect();
         black_box(choose_server(&model, &candidates, rand::random::<f64>));
     })
 }
@@ -170,7 +171,7 @@
         part += 1;
         let home = |servers: &Vec<Remote>| {
             let at = servers.partition_point(|it| it.hash < affinity(part, 0));
-            let near = neighbours(servers.len(), at).into_iter().map(|place| servers[place]);
+            let near = affinity_group(servers.len(), at).into_iter().map(|place| servers[place]);
             near.max_by_key(|it| affinity(part, it.hash))
         };
         let homes = regions.iter().filter_map(home);
@@ -179,7 +180,7 @@
         for group in &groups {
             compared.extend(few(group.len()).into_iter().map(|place| group[place]));
             candidates = known(&compared, &distances, &names);
-            if !looks_further(&candidates, Some(6.0)) {
+            if !should_search_farther(&candidates, Some(6.0)) {
                 break;
             }
         }
@@ -188,7 +189,7 @@
 }
 
 /// What a relay knows of servers: that all are full.
-fn known(servers: &[Remote], distances: &Distances, names: &[DataCentre]) -> Vec<ServerCandidate> {
+fn known(servers: &[Remote], distances: &Distances, names: &[DataCentre]) -> Vec<BackendCandidate> {
     let (now, weights) = (Instant::now(), ByteWeights { regional: 0.1, remote: 1.0 });
     let word =
         |it: &Remote| Some(LoadEstimate { requests: 12.0 + (it.hash % 12) as f64, age: 0.4 });
@@ -198,8 +199,9 @@
         time: distances.time(&names[it.data_centre], it.reach, now),
         weight: kilobytes(12_000, 500) * weights.of(it.reach),
     };
-    let others = others_by_region(&words, &regions, Some(1.0)).into_iter();
-    let candidate = |(requests, it)| ServerCandidate { distance: distance(it), ..server(requests) };
+    let others = estimate_other_requests_by_region(&words, &regions, Some(1.0)).into_iter();
+    let candidate =
+        |(requests, it)| BackendCandidate { distance: distance(it), ..server(requests) };
     others.zip(servers).map(candidate).collect()
 }
 
@@ -214,18 +216,18 @@
 }
 
 fn few(count: usize) -> Vec<usize> {
-    drawn(count, rand::random::<f64>)
+    sample_indices(count, rand::random::<f64>)
 }
 
-fn server(requests: f64) -> ServerCandidate {
-    ServerCandidate {
+fn server(requests: f64) -> BackendCandidate {
+    BackendCandidate {
         requests,
         slots: 12,
-        stay: 1.0,
-        unread: 0,
-        uncached: 3_000,
+        residence_time: 1.0,
+        queued_prompt_tokens: 0,
+        uncached_prompt_tokens: 3_000,
         distance: Distance { time: 3.0, weight: 0.0 },
-        full: false,
+        memory_full: false,
         ejected: false,
     }
 }
@@ -243,7 +245,7 @@
         data_centre: format!("dc{}", number % 4).parse().expect("a valid name"),
         slots: 16,
         reported: Some(number % 20),
-        own_then: 1,
+        own_at_report: 1,
         own_now: 2,
         cached: Tokens(u64::from(number % 5) * 16),
         affinity: u64::from(number) * 7_919 + 1,
@@ -257,13 +259,13 @@
     let name = "p".parse().expect("a constant name");
     let policies = Policies::compile(&BTreeMap::from([(name, PROGRAM.to_owned())]));
     let name = "p".parse().expect("a constant name");
-    let facts = Facts {
+    let facts = PolicyInput {
         team: "portal".parse().expect("a constant name"),
         service: "small".parse().expect("a constant name"),
         class: Class::Interactive,
         data_centre: "dc1".parse().expect("a constant name"),
-        prompt: Tokens(500),
-        output: Tokens(200),
+        prompt_tokens: Tokens(500),
+        max_tokens: Tokens(200),
         repeatable: true,
         may_wait: false,
     };
--- a/src/blackboard/fleet.rs
+++ b/src/blackboard/fleet.rs
@@ -221,12 +221,12 @@
 
     /// Takes note that it failed a request of a route.
     pub fn fail_route(&self, route: &str) {
-        self.lock().faults.fail(route, Instant::now());
+        self.lock().faults.record_failure(route, Instant::now());
     }
 
     /// Takes note that it answered a request of a route well.
     pub fn succeed_route(&self, route: &str) {
-        self.lock().faults.succeed(route);
+        self.lock().faults.record_success(route);
     }
 
     /// Whether it is passed over for a route.
--- a/src/cmd/check.rs
+++ b/src/cmd/check.rs
@@ -8,7 +8,7 @@
 
 use super::exit;
 use super::operator::exit_with;
-use crate::decide::policy::{Facts, Policies};
+use crate::decide::policy::{Policies, PolicyInput};
 use crate::ids::{ChangeId, PolicyName};
 use crate::settings::Settings;
 use crate::state::change_file;
@@ -71,7 +71,7 @@
         _ => None,
     });
     let policies = Policies::compile(&programs.collect());
-    let mut faults: Vec<_> = policies.faults().iter().map(ToString::to_string).collect();
+    let mut faults: Vec<_> = policies.compile_errors().iter().map(ToString::to_string).collect();
     for edit in &change.edits {
         if let Edit::PutPolicy(name, _) = edit {
             faults.extend(try_samples(&policies, name));
@@ -97,14 +97,14 @@
     faults
 }
 
-fn sample(class: Class, tokens: Tokens) -> Facts {
-    Facts {
+fn sample(class: Class, tokens: Tokens) -> PolicyInput {
+    PolicyInput {
         team: "sample-team".parse().expect("a constant name is valid"),
         service: "sample-service".parse().expect("a constant name is valid"),
         class,
         data_centre: "sample-data-centre".parse().expect("a constant name is valid"),
-        prompt: tokens,
-        output: tokens,
+        prompt_tokens: tokens,
+        max_tokens: tokens,
         repeatable: true,
         may_wait: class == Class::Batch,
     }
--- a/src/decide/certainty.rs
+++ b/src/decide/certainty.rs
@@ -12,7 +12,7 @@
 
 /// The operators' aims.
 #[derive(Debug, Clone, Copy)]
-pub struct Aims {
+pub struct PropagationTargets {
     /// A change is in force everywhere this long after it was acknowledged.
     pub change: Duration,
     /// A key that was taken away has no effect this long after.
@@ -21,31 +21,31 @@
 
 /// How sure a box is of its routes and keys.
 #[derive(Debug, Clone, Copy)]
-pub struct Certainty {
+pub struct ConfigFreshness {
     /// The aims that bound it.
-    pub aims: Aims,
+    pub targets: PropagationTargets,
     /// How long ago they were certainly the newest; `None`: that is not known.
     pub age: Option<Duration>,
     /// Whether it was told that there are newer ones.
-    pub behind: bool,
+    pub is_behind: bool,
 }
 
-impl Certainty {
+impl ConfigFreshness {
     /// Whether the box may refuse a request for good because it holds no such route or key.
-    pub fn may_deny(&self) -> bool {
-        !self.behind && self.is_within(self.aims.change)
+    pub fn may_reject_unknown(&self) -> bool {
+        !self.is_behind && self.is_within(self.targets.change)
     }
 
     /// Whether a request may run where the routes held say. A box that hears nothing goes on: it can't tell
     /// whether anything has changed. One that knows of a change goes by the old routes no longer than the change
     /// may take.
-    pub fn may_run(&self) -> bool {
-        !self.behind || self.is_within(self.aims.change)
+    pub fn may_use_routes(&self) -> bool {
+        !self.is_behind || self.is_within(self.targets.change)
     }
 
     /// Whether a key that the box holds may be taken to hold still.
     pub fn may_trust_keys(&self) -> bool {
-        self.is_within(self.aims.revoke.mul_f64(KEY_MARGIN))
+        self.is_within(self.targets.revoke.mul_f64(KEY_MARGIN))
     }
 
     fn is_within(&self, bound: Duration) -> bool {
--- a/src/decide/faults.rs
+++ b/src/decide/faults.rs
@@ -7,40 +7,43 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// How long a server is passed over after its first fault; doubled each time up to [`LONGEST`].
-const FIRST: Duration = Duration::from_millis(2_000);
+/// How long a server is passed over after its first fault; doubled each time up to [`MAX_AVOID_TIME`].
+const INITIAL_AVOID_TIME: Duration = Duration::from_millis(2_000);
 
 /// The longest time a server is passed over.
-const LONGEST: Duration = Duration::from_secs(60);
+const MAX_AVOID_TIME: Duration = Duration::from_secs(60);
 
 /// Routes of one server above which those whose time is over are forgotten.
-const LIMIT: usize = 256;
+const MAX_ROUTES: usize = 256;
 
 #[derive(Debug, Clone, Copy)]
-struct Fault {
+struct RouteFault {
     until: Instant,
-    streak: u32,
+    consecutive: u32,
 }
 
 /// The faults that this box has seen of one server in one life, by route.
 #[derive(Debug, Default)]
 pub struct FaultTracker {
-    faults: HashMap<String, Fault>,
+    faults: HashMap<String, RouteFault>,
 }
 
 impl FaultTracker {
     /// Notes that the server failed a request of a route.
-    pub fn fail(&mut self, route: &str, now: Instant) {
-        if self.faults.len() >= LIMIT {
+    pub fn record_failure(&mut self, route: &str, now: Instant) {
+        if self.faults.len() >= MAX_ROUTES {
             self.faults.retain(|_, fault| fault.until > now);
         }
-        let streak = self.faults.get(route).map_or(0, |fault| fault.streak);
-        let time = FIRST.saturating_mul(1 << streak.min(8)).min(LONGEST);
-        self.faults.insert(route.to_owned(), Fault { until: now + time, streak: streak + 1 });
+        let consecutive = self.faults.get(route).map_or(0, |fault| fault.consecutive);
+        let time = INITIAL_AVOID_TIME.saturating_mul(1 << consecutive.min(8)).min(MAX_AVOID_TIME);
+        self.faults.insert(
+            route.to_owned(),
+            RouteFault { until: now + time, consecutive: consecutive + 1 },
+        );
     }
 
     /// Notes that the server answered a request of a route well.
-    pub fn succeed(&mut self, route: &str) {
+    pub fn record_success(&mut self, route: &str) {
         self.faults.remove(route);
     }
 
--- a/src/decide/loads.rs
+++ b/src/decide/loads.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::choose::fresh_part;
+use super::choose::freshness;
 use crate::ids::{BackendId, Incarnation, ServerKey};
 use crate::units::Millis;
 
--- a/src/decide/policy.rs
+++ b/src/decide/policy.rs
@@ -38,7 +38,7 @@
 
 /// What a policy is told of a request.
 #[derive(Debug, Clone)]
-pub struct Facts {
+pub struct PolicyInput {
     /// Whose request.
     pub team: TeamName,
     /// For which service.
@@ -48,9 +48,9 @@
     /// The data centre of the deciding node.
     pub data_centre: DataCentre,
     /// Estimated tokens of the prompt.
-    pub prompt: Tokens,
+    pub prompt_tokens: Tokens,
     /// Tokens it may generate.
-    pub output: Tokens,
+    pub max_tokens: Tokens,
     /// Whether it may run more than once.
     pub repeatable: bool,
     /// Whether its caller would take the answer later.
@@ -59,7 +59,7 @@
 
 /// What a policy decided; the default leaves everything to the built-in rules.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Ruling {
+pub struct PolicyDecision {
     /// Data centres that may be used; empty: all.
     pub data_centres: Vec<DataCentre>,
     /// The class.
@@ -75,7 +75,7 @@
 /// Why a policy could not decide.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("policy {policy}: {detail}")]
-pub struct PolicyFault {
+pub struct PolicyError {
     /// Which.
     pub policy: PolicyName,
     /// What went wrong.
@@ -103,7 +103,7 @@
         }
         let engine = new_engine();
         let compiled = programs.iter().map(|(name, text)| {
-            let ast = compile_one(&engine, text);
+            let ast = compile_program(&engine, text);
             if let Err(detail) = &ast {
                 tracing::warn!(event = "policy_invalid", policy = %name, detail);
             }
@@ -118,25 +118,31 @@
     /// # Errors
     /// When the policy is missing, does not compile, fails, or returns something that is not a
     /// ruling. Built-in rules decide then.
-    pub fn decide(&self, name: &PolicyName, facts: &Facts) -> Result<Ruling, PolicyFault> {
-        let fault = |detail: String| PolicyFault { policy: name.clone(), detail };
-        let engine = self.engine.as_ref().ok_or_else(|| fault("is not there".to_owned()))?;
-        let program = self.programs.get(name).ok_or_else(|| fault("is not there".to_owned()))?;
-        let ast = program.as_ref().map_err(|detail| fault(detail.clone()))?;
+    pub fn decide(
+        &self,
+        name: &PolicyName,
+        input: &PolicyInput,
+    ) -> Result<PolicyDecision, PolicyError> {
+        let policy_error = |detail: String| PolicyError { policy: name.clone(), detail };
+        let engine =
+            self.engine.as_ref().ok_or_else(|| policy_error("is not defined".to_owned()))?;
+        let program =
+            self.programs.get(name).ok_or_else(|| policy_error("is not defined".to_owned()))?;
+        let ast = program.as_ref().map_err(|detail| policy_error(detail.clone()))?;
         let mut scope = Scope::new();
         let result: Map = engine
-            .call_fn(&mut scope, ast, FUNCTION, (to_map(facts),))
-            .map_err(|error| fault(error.to_string()))?;
-        read_ruling(result).map_err(fault)
+            .call_fn(&mut scope, ast, FUNCTION, (to_map(input),))
+            .map_err(|error| policy_error(error.to_string()))?;
+        parse_decision(result).map_err(policy_error)
     }
 
     /// The faults of programs that do not compile, by name.
-    pub fn faults(&self) -> Vec<PolicyFault> {
-        let faults = self.programs.iter().filter_map(|(name, program)| {
+    pub fn compile_errors(&self) -> Vec<PolicyError> {
+        let errors = self.programs.iter().filter_map(|(name, program)| {
             let detail = program.as_ref().err()?.clone();
-            Some(PolicyFault { policy: name.clone(), detail })
+            Some(PolicyError { policy: name.clone(), detail })
         });
-        faults.collect()
+        errors.collect()
     }
 }
 
@@ -154,7 +160,7 @@
     engine
 }
 
-fn compile_one(engine: &Engine, text: &str) -> Result<AST, String> {
+fn compile_program(engine: &Engine, text: &str) -> Result<AST, String> {
     let ast = engine.compile(text).map_err(|error| error.to_string())?;
     let defined = ast.iter_functions().any(|it| it.name == FUNCTION && it.params.len() == 1);
     match defined {
@@ -163,54 +169,55 @@
     }
 }
 
-fn to_map(facts: &Facts) -> Map {
+fn to_map(input: &PolicyInput) -> Map {
     let mut map = Map::new();
-    map.insert("team".into(), facts.team.as_str().to_owned().into());
-    map.insert("service".into(), facts.service.as_str().to_owned().into());
-    map.insert("class".into(), facts.class.to_string().into());
-    map.insert("data_centre".into(), facts.data_centre.as_str().to_owned().into());
-    map.insert("prompt_tokens".into(), (facts.prompt.0 as i64).into());
-    map.insert("max_tokens".into(), (facts.output.0 as i64).into());
-    map.insert("repeatable".into(), facts.repeatable.into());
-    map.insert("may_wait".into(), facts.may_wait.into());
+    map.insert("team".into(), input.team.as_str().to_owned().into());
+    map.insert("service".into(), input.service.as_str().to_owned().into());
+    map.insert("class".into(), input.class.to_string().into());
+    map.insert("data_centre".into(), input.data_centre.as_str().to_owned().into());
+    map.insert("prompt_tokens".into(), (input.prompt_tokens.0 as i64).into());
+    map.insert("max_tokens".into(), (input.max_tokens.0 as i64).into());
+    map.insert("repeatable".into(), input.repeatable.into());
+    map.insert("may_wait".into(), input.may_wait.into());
     map
 }
 
-fn read_ruling(map: Map) -> Result<Ruling, String> {
-    let mut ruling = Ruling::default();
+fn parse_decision(map: Map) -> Result<PolicyDecision, String> {
+    let mut decision = PolicyDecision::default();
     for (key, value) in map {
         match key.as_str() {
-            "data_centres" => ruling.data_centres = read_names(value)?,
-            "class" => ruling.class = Some(read_text(value, "class")?.parse()?),
-            "wait_ms" => ruling.wait = Some(read_millis(&value)?),
+            "data_centres" => decision.data_centres = parse_names(value)?,
+            "class" => decision.class = Some(parse_text(value, "class")?.parse()?),
+            "wait_ms" => decision.wait = Some(parse_millis(&value)?),
             "on_demand" => {
-                ruling.on_demand = value.as_bool().map_err(|kind| wrong("on_demand", kind))?;
+                decision.on_demand =
+                    value.as_bool().map_err(|kind| wrong_type("on_demand", kind))?;
             }
-            "refuse" => ruling.refuse = Some(read_text(value, "refuse")?),
+            "refuse" => decision.refuse = Some(parse_text(value, "refuse")?),
             other => return Err(format!("returns an unknown key {other:?}")),
         }
     }
-    Ok(ruling)
+    Ok(decision)
 }
 
-fn read_names(value: Dynamic) -> Result<Vec<DataCentre>, String> {
-    let list = value.into_array().map_err(|kind| wrong("data_centres", kind))?;
+fn parse_names(value: Dynamic) -> Result<Vec<DataCentre>, String> {
+    let list = value.into_array().map_err(|kind| wrong_type("data_centres", kind))?;
     let name = |item: Dynamic| {
-        let text = read_text(item, "data_centres")?;
+        let text = parse_text(item, "data_centres")?;
         text.parse().map_err(|error| format!("data_centres: {error}"))
     };
     list.into_iter().map(name).collect()
 }
 
-fn read_text(value: Dynamic, key: &str) -> Result<String, String> {
-    value.into_string().map_err(|kind| wrong(key, kind))
+fn parse_text(value: Dynamic, key: &str) -> Result<String, String> {
+    value.into_string().map_err(|kind| wrong_type(key, kind))
 }
 
-fn read_millis(value: &Dynamic) -> Result<Millis, String> {
-    let number = value.as_int().map_err(|kind| wrong("wait_ms", kind))?;
+fn parse_millis(value: &Dynamic) -> Result<Millis, String> {
+    let number = value.as_int().map_err(|kind| wrong_type("wait_ms", kind))?;
     u64::try_from(number).map(Millis).map_err(|_| "wait_ms is negative".to_owned())
 }
 
-fn wrong(key: &str, kind: &str) -> String {
+fn wrong_type(key: &str, kind: &str) -> String {
     format!("{key} is of the wrong type, {kind}")
 }
--- a/src/decide/route.rs
+++ b/src/decide/route.rs
@@ -13,26 +13,26 @@
 use crate::units::{Price, Tokens};
 
 /// Candidates drawn for each decision.
-const CHOICES: usize = 4;
+const SAMPLE_SIZE: usize = 4;
 
 /// Servers a prompt's beginning belongs to.
-const HOMES: usize = 2;
+const PREFERRED_SERVERS: usize = 2;
 
 /// Blocks that make a prompt's beginning.
-const HOME_BLOCKS: usize = 4;
+const AFFINITY_BLOCKS: usize = 4;
 
 /// The share of a prompt that is taken to be cached at its home.
-const HOME_BELIEF: f64 = 0.7;
+const ASSUMED_CACHED_SHARE: f64 = 0.7;
 
 /// Seconds a prompt token takes to compute, until better is known.
-const PREFILL_SECONDS: f64 = 100e-6;
+const DEFAULT_PREFILL_SECONDS: f64 = 100e-6;
 
 /// Seconds a whole slot's worth of queue costs, until better is known.
-const SERVICE_SECONDS: f64 = 0.5;
+const DEFAULT_SERVICE_SECONDS: f64 = 0.5;
 
 /// What a server's fill weighs below its slots, as a share of a request's time: nothing queues there
 /// yet, only the tokens come slower.
-const FILL_WEIGHT: f64 = 0.05;
+const OCCUPANCY_WEIGHT: f64 = 0.05;
 
 /// Seconds that a price of one unit of currency an hour weighs.
 const PRICE_SECONDS: f64 = 0.02;
@@ -42,10 +42,10 @@
 
 /// The chance that a reclaimable box is taken back within a second of work, times the seconds of
 /// work a loss costs.
-const RISK: f64 = 0.000_2;
+const RECLAIM_RISK: f64 = 0.000_2;
 
 /// The fill from which a server counts as crowded: reports are old, and other nodes send as well.
-const CROWDED: f64 = 0.7;
+const CROWDED_OCCUPANCY: f64 = 0.7;
 
 /// A backend server as the decision sees it.
 #[derive(Debug, Clone)]
@@ -59,7 +59,7 @@
     /// Requests running or waiting there by the last report; `None`: no report.
     pub reported: Option<u32>,
     /// This node's requests in flight there when the report was made.
-    pub own_then: u32,
+    pub own_at_report: u32,
     /// This node's requests in flight there now.
     pub own_now: u32,
     /// Prompt tokens likely cached there.
@@ -90,7 +90,7 @@
     pub fn occupancy(&self) -> f64 {
         match self.reported {
             Some(reported) => {
-                let others = reported.saturating_sub(self.own_then);
+                let others = reported.saturating_sub(self.own_at_report);
                 f64::from(others + self.own_now)
             }
             None => f64::from(self.own_now),
@@ -98,7 +98,7 @@
     }
 
     /// Whether it can take one more without queueing for long.
-    pub fn is_open(&self) -> bool {
+    pub fn has_free_slot(&self) -> bool {
         self.occupancy() < f64::from(self.slots)
     }
 
@@ -109,18 +109,18 @@
 
     /// The cost where the server may be one of the prompt's homes: part of the prompt is likely
     /// cached there by other nodes' requests.
-    fn cost_at(&self, need: &Need, home: bool) -> f64 {
+    fn cost_at(&self, need: &Need, is_preferred: bool) -> f64 {
         let slots = f64::from(self.slots.max(1));
-        let service = self.service_time.unwrap_or(SERVICE_SECONDS);
-        let fill = self.occupancy() / slots;
-        let excess = (fill - CROWDED).max(0.0);
-        let queue = (FILL_WEIGHT * fill * fill + 2.0 * excess) * service;
+        let service = self.service_time.unwrap_or(DEFAULT_SERVICE_SECONDS);
+        let occupancy = self.occupancy() / slots;
+        let excess = (occupancy - CROWDED_OCCUPANCY).max(0.0);
+        let queue = (OCCUPANCY_WEIGHT * occupancy * occupancy + 2.0 * excess) * service;
         let missing = need.prompt.less(self.cached).0 as f64;
-        let belief = if home { HOME_BELIEF } else { 0.0 };
-        let prefill = missing * PREFILL_SECONDS * (1.0 - belief);
+        let cached_share = if is_preferred { ASSUMED_CACHED_SHARE } else { 0.0 };
+        let prefill = missing * DEFAULT_PREFILL_SECONDS * (1.0 - cached_share);
         let distance = if self.data_centre == need.data_centre { 0.0 } else { DISTANCE_SECONDS };
         let work = (need.prompt + need.output).0 as f64;
-        let risk = if self.reclaimable { work * RISK * service } else { 0.0 };
+        let risk = if self.reclaimable { work * RECLAIM_RISK * service } else { 0.0 };
         let price = self.price.0 as f64 / 1e6 * PRICE_SECONDS;
         queue + prefill + distance + risk + price
     }
@@ -132,38 +132,41 @@
     need: &Need,
     random: &mut R,
 ) -> Option<&'a Candidate> {
-    let open: Vec<_> = candidates.iter().filter(|candidate| candidate.is_open()).collect();
-    if open.is_empty() {
+    let free: Vec<_> = candidates.iter().filter(|candidate| candidate.has_free_slot()).collect();
+    if free.is_empty() {
         return None;
     }
-    let drawn = sample(random, open.len(), CHOICES.min(open.len()));
+    let sampled = sample(random, free.len(), SAMPLE_SIZE.min(free.len()));
     // The server with the longest cached prefix is always looked at: chance would miss it. So are the
     // prompt's homes, where other nodes send what begins alike, until they have filled up.
-    let warmest = open.iter().filter(|it| it.cached.0 > 0).max_by_key(|it| it.cached);
-    let homes = homes(&open);
-    let chance =
-        drawn.iter().map(|place| (open[place], false)).chain(warmest.map(|it| (*it, false)));
-    let looked_at = chance.chain(homes.into_iter().map(|it| (it, true)));
-    let cost = |(candidate, home): &(&Candidate, bool)| candidate.cost_at(need, *home);
-    let best = looked_at.min_by(|a, b| cost(a).total_cmp(&cost(b)));
+    let longest_cached = free.iter().filter(|it| it.cached.0 > 0).max_by_key(|it| it.cached);
+    let preferred_servers = preferred_servers(&free);
+    let by_chance = sampled
+        .iter()
+        .map(|index| (free[index], false))
+        .chain(longest_cached.map(|it| (*it, false)));
+    let compared = by_chance.chain(preferred_servers.into_iter().map(|it| (it, true)));
+    let cost =
+        |(candidate, is_preferred): &(&Candidate, bool)| candidate.cost_at(need, *is_preferred);
+    let best = compared.min_by(|a, b| cost(a).total_cmp(&cost(b)));
     best.map(|(candidate, _)| candidate)
 }
 
 /// The servers with the largest weights for the prompt's beginning that are not crowded; none for a
 /// prompt without a beginning.
-fn homes<'a>(open: &[&'a Candidate]) -> Vec<&'a Candidate> {
-    let has_room = |it: &&&Candidate| it.occupancy() < f64::from(it.slots) * CROWDED;
-    let able = open.iter().filter(|it| it.affinity > 0).filter(has_room);
-    let mut weighed: Vec<_> = able.copied().collect();
-    weighed.sort_by_key(|it| std::cmp::Reverse(it.affinity));
-    weighed.truncate(HOMES);
-    weighed
+fn preferred_servers<'a>(free: &[&'a Candidate]) -> Vec<&'a Candidate> {
+    let has_room = |it: &&&Candidate| it.occupancy() < f64::from(it.slots) * CROWDED_OCCUPANCY;
+    let eligible = free.iter().filter(|it| it.affinity > 0).filter(has_room);
+    let mut ordered: Vec<_> = eligible.copied().collect();
+    ordered.sort_by_key(|it| std::cmp::Reverse(it.affinity));
+    ordered.truncate(PREFERRED_SERVERS);
+    ordered
 }
 
 /// A server's weight for a prompt's beginning, the same at every node (rendezvous hashing; Thaler and
 /// Ravishankar, 1998). 0 for a prompt too short to have one.
 pub fn affinity(id: &BackendId, prefixes: &[u64]) -> u64 {
-    let Some(beginning) = prefixes.get(..HOME_BLOCKS).and_then(|it| it.last()) else {
+    let Some(beginning) = prefixes.get(..AFFINITY_BLOCKS).and_then(|it| it.last()) else {
         return 0;
     };
     let text = id.as_str().bytes();
--- a/src/entry/dispatch.rs
+++ b/src/entry/dispatch.rs
@@ -8,7 +8,7 @@
 
 use crate::blackboard::fleet::{BackendState, FlightGuard};
 use crate::blackboard::{Blackboard, InForce};
-use crate::decide::policy::Ruling;
+use crate::decide::policy::PolicyDecision;
 use crate::decide::queue::{Ticket, WaitQueue, Waiter};
 use crate::decide::route::{self, BLOCK_TOKENS, Candidate, Need};
 use crate::error::{Failure, Kind};
@@ -42,7 +42,7 @@
     /// The hashes of its prompt's leading blocks.
     pub prefixes: Vec<u64>,
     /// What the policy decided.
-    pub ruling: Ruling,
+    pub ruling: PolicyDecision,
     /// When it is too late.
     pub deadline: Instant,
     /// Servers that failed it already; used only when no other is there.
@@ -321,7 +321,7 @@
     Failure::new(Kind::DeadlineUnreachable, "no backend server is free before the deadline")
 }
 
-fn allowed(ruling: &Ruling, server: &BackendServer) -> bool {
+fn allowed(ruling: &PolicyDecision, server: &BackendServer) -> bool {
     let there = ruling.data_centres.is_empty() || ruling.data_centres.contains(&server.data_centre);
     there && !(ruling.on_demand && server.reclaimable)
 }
@@ -339,7 +339,7 @@
         data_centre: server.data_centre.clone(),
         slots: server.slots,
         reported: load.map(|load| load.running + load.waiting),
-        own_then: load.map_or(0, |load| load.own),
+        own_at_report: load.map_or(0, |load| load.own),
         own_now: state.in_flight(),
         cached: Tokens(blocks * BLOCK_TOKENS),
         affinity: route::affinity(id, &wanted.prefixes),
--- a/src/entry/ground.rs
+++ b/src/entry/ground.rs
@@ -6,7 +6,7 @@
 use super::request::Head;
 use crate::blackboard::InForce;
 use crate::control::share::whole;
-use crate::decide::policy::{Facts, Ruling};
+use crate::decide::policy::{PolicyDecision, PolicyInput};
 use crate::decide::route::Need;
 use crate::error::{Failure, Kind};
 use crate::ids::{ServiceName, TeamName};
@@ -62,17 +62,17 @@
         &self,
         node: &Node,
         service: &Service,
-        facts: &Facts,
-    ) -> Result<Ruling, Failure> {
+        facts: &PolicyInput,
+    ) -> Result<PolicyDecision, Failure> {
         let Some(policy) = &service.policy else {
-            return Ok(Ruling::default());
+            return Ok(PolicyDecision::default());
         };
         let ruling = match self.in_force.policies.decide(policy, facts) {
             Ok(ruling) => ruling,
             Err(fault) => {
                 node.metrics.count_policy_fault(policy.as_str());
                 tracing::warn!(event = "policy_failed", policy = %policy, detail = fault.detail);
-                Ruling::default()
+                PolicyDecision::default()
             }
         };
         match &ruling.refuse {
@@ -100,7 +100,7 @@
         head: &Head,
         service: &ServiceName,
         need: Need,
-        ruling: Ruling,
+        ruling: PolicyDecision,
     ) -> Wanted {
         Wanted {
             service: service.clone(),
@@ -123,14 +123,14 @@
         head: &Head,
         service: &ServiceName,
         need: &Need,
-    ) -> Facts {
-        Facts {
+    ) -> PolicyInput {
+        PolicyInput {
             team: self.name.clone(),
             service: service.clone(),
             class: self.team.class,
             data_centre: node.settings.node.data_centre.clone(),
-            prompt: need.prompt,
-            output: need.output,
+            prompt_tokens: need.prompt,
+            max_tokens: need.output,
             repeatable: head.repeatable,
             may_wait: head.may_wait,
         }
--- a/src/relay/listen.rs
+++ b/src/relay/listen.rs
@@ -107,7 +107,7 @@
         return Some("no routes are known yet");
     }
     let certainty = relay.certainty();
-    let is_sure = certainty.may_trust_keys() && certainty.may_run();
+    let is_sure = certainty.may_trust_keys() && certainty.may_use_routes();
     (!is_sure).then_some("the routes may be out of date")
 }
 
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -71,7 +71,7 @@
 use crate::blackboard::Blackboard;
 use crate::clock;
 use crate::decide::allowance::Allowances;
-use crate::decide::certainty::{Aims, Certainty};
+use crate::decide::certainty::{ConfigFreshness, PropagationTargets};
 use crate::decide::distance::Distances;
 use crate::decide::intervals::{HEARTBEAT_INTERVAL, MAX_HEARTBEAT_INTERVAL};
 use crate::decide::loads::LoadPool;
@@ -259,13 +259,17 @@
     }
 
     /// How current the routes and keys of this box are.
-    pub(crate) fn certainty(&self) -> Certainty {
+    pub(crate) fn certainty(&self) -> ConfigFreshness {
         let settings = &self.context.settings;
-        let aims = Aims {
+        let aims = PropagationTargets {
             change: settings.apply_time.duration(),
             revoke: settings.revoke_time.duration(),
         };
-        Certainty { aims, age: self.context.board.age(), behind: self.is_behind() }
+        ConfigFreshness {
+            targets: aims,
+            age: self.context.board.age(),
+            is_behind: self.is_behind(),
+        }
     }
 
     /// Waits until the box is initialized, for at most `limit`.
--- a/src/relay/pick.rs
+++ b/src/relay/pick.rs
@@ -13,8 +13,8 @@
 use super::restraint::Restraints;
 use super::table::{EngineSpec, Route};
 use crate::decide::choose::{
-    Candidate, affinity, choose, choose_over_regions, compares_all, drawn, looks_further,
-    neighbours, others_by_region,
+    BackendCandidate, affinity, affinity_group, choose, choose_over_regions, compares_all,
+    estimate_other_requests_by_region, sample_indices, should_search_farther,
 };
 use crate::decide::distance::{Copying, Distance, fetch_saves, kilobytes};
 use crate::decide::engine::EngineModel;
@@ -108,7 +108,7 @@
 
     fn home(&self, servers: &[LocatedServer], prefix: PromptSegment) -> Option<LocatedServer> {
         let at = servers.partition_point(|it| it.known.hash < affinity(prefix.id, 0));
-        let nearby = neighbours(servers.len(), at).into_iter().map(|index| &servers[index]);
+        let nearby = affinity_group(servers.len(), at).into_iter().map(|index| &servers[index]);
         // A server with a rate limit serves only a few of the calls with the same prefix.
         let open = nearby
             .filter(|it| self.is_eligible(&it.known) && !self.restraints.is_limited(&it.known));
@@ -138,7 +138,7 @@
                 }
             }
             let compared = self.compare(sample.clone(), homes);
-            if !looks_further(&compared.candidates, mean_requests) {
+            if !should_search_farther(&compared.candidates, mean_requests) {
                 return compared;
             }
         }
@@ -148,7 +148,7 @@
     /// Draws eligible servers of a group at random.
     fn draw(&self, group: &[LocatedServer]) -> Vec<LocatedServer> {
         for _ in 0..MAX_DRAWS {
-            let drawn = drawn(group.len(), rand::random::<f64>);
+            let drawn = sample_indices(group.len(), rand::random::<f64>);
             let mut takers: Vec<_> = drawn.into_iter().map(|index| group[index].clone()).collect();
             takers.retain(|it| self.is_eligible(&it.known));
             if !takers.is_empty() {
@@ -182,7 +182,7 @@
         let (chosen, candidate) = (&compared.servers[index], &compared.candidates[index]);
         let shared = self.call.shared_prefix().map_or(0, |prefix| prefix.tokens);
         let prefill_work = PrefillWork {
-            tokens: candidate.uncached,
+            tokens: candidate.uncached_prompt_tokens,
             unshared_tokens: self.call.prompt_tokens().saturating_sub(shared),
             is_queue_empty: chosen.known.queued_prompt_tokens() == 0 && !candidate.ejected,
         };
@@ -221,14 +221,14 @@
                 has_read_prefix(it) || is_home(it, homes),
                 prefix_sources[index].is_some(),
             );
-            Candidate {
+            BackendCandidate {
                 requests: others[index] + f64::from(known.state.in_flight()),
                 slots: known.server.slots,
                 stay: stay.unwrap_or_default(),
                 unread: known.queued_prompt_tokens(),
                 uncached: self.call.prompt_tokens().saturating_sub(cached),
                 distance: distances[index],
-                full: any_room && !room[index],
+                memory_full: any_room && !room[index],
                 ejected: known.state.is_ejected() || known.state.is_avoided(&self.route.name, now),
             }
         };
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -105,7 +105,7 @@
 fn soften_uncertain_denial(relay: &Relay, failure: Failure) -> Failure {
     match failure.kind {
         Kind::NotFound | Kind::UnknownKey | Kind::TooLarge | Kind::HeadTooLarge
-            if !relay.certainty().may_deny() =>
+            if !relay.certainty().may_reject_unknown() =>
         {
             uncertain(&format!("{}, but the routes of this box may be out of date", failure.detail))
         }
@@ -150,7 +150,7 @@
     }
     head::check(&request, table.limits.head)?;
     let route = find_route(&table, &request)?;
-    if !relay.certainty().may_run() {
+    if !relay.certainty().may_use_routes() {
         return Err(uncertain("newer routes are in force than those this box holds"));
     }
     let team = find_team(relay, &table, &route, &head)?;
@@ -271,7 +271,7 @@
 
 fn choose_service(route: &Route) -> Result<ServiceName, Failure> {
     let weights: Vec<_> = route.splits.iter().map(|split| split.weight).collect();
-    let place = split(&weights, rand::random::<f64>());
+    let place = choose_weighted(&weights, rand::random::<f64>());
     let chosen = place.and_then(|place| route.splits.get(place));
     chosen
         .map(|split| split.service.clone())
--- a/tests/certainty.rs
+++ b/tests/certainty.rs
@@ -5,12 +5,13 @@
 
 use emberturn::blackboard::Blackboard;
 use emberturn::clock;
-use emberturn::decide::certainty::{Aims, Certainty};
+use emberturn::decide::certainty::{ConfigFreshness, PropagationTargets};
 use emberturn::ids::Version;
 use emberturn::state::document::Document;
 use yare::parameterized;
 
-const AIMS: Aims = Aims { change: Duration::from_secs(2), revoke: Duration::from_secs(5) };
+const AIMS: PropagationTargets =
+    PropagationTargets { change: Duration::from_secs(2), revoke: Duration::from_secs(5) };
 
 #[parameterized(
     sure = { Some(1_900), false, [true, true, true] },
@@ -22,10 +23,14 @@
     told_and_never_sure = { None, true, [false, false, false] },
 )]
 fn each_claim_has_its_own_bound(age_ms: Option<u64>, behind: bool, may: [bool; 3]) {
-    let certainty = Certainty { aims: AIMS, age: age_ms.map(Duration::from_millis), behind };
+    let certainty = ConfigFreshness {
+        targets: AIMS,
+        age: age_ms.map(Duration::from_millis),
+        is_behind: behind,
+    };
     let [deny, run, trust] = may;
-    assert_eq!(certainty.may_deny(), deny);
-    assert_eq!(certainty.may_run(), run);
+    assert_eq!(certainty.may_reject_unknown(), deny);
+    assert_eq!(certainty.may_use_routes(), run);
     assert_eq!(certainty.may_trust_keys(), trust);
 }
 
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -28,7 +28,7 @@
         data_centre: "dc1".parse().unwrap(),
         slots,
         reported,
-        own_then: 0,
+        own_at_report: 0,
         own_now: own,
         cached: Tokens(0),
         affinity: 0,
@@ -169,8 +169,8 @@
             .collect();
         let chosen = choose(&list, &need(), &mut SmallRng::seed_from_u64(seed));
         match chosen {
-            Some(chosen) => prop_assert!(chosen.is_open()),
-            None => prop_assert!(list.iter().all(|candidate| !candidate.is_open())),
+            Some(chosen) => prop_assert!(chosen.has_free_slot()),
+            None => prop_assert!(list.iter().all(|candidate| !candidate.has_free_slot())),
         }
     }
 
--- a/tests/distance.rs
+++ b/tests/distance.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use emberturn::decide::choose::{
-    Candidate, LoadEstimate, choose, choose_over_regions, drawn, expected_wait, looks_further,
-    others_by_region, others_now,
+    BackendCandidate, LoadEstimate, choose, choose_over_regions, estimate_other_requests,
+    estimate_other_requests_by_region, expected_wait, sample_indices, should_search_farther,
 };
 use emberturn::decide::distance::{
     ByteWeights, Copying, Distance, Distances, fetch_saves, kilobytes,
@@ -38,14 +38,14 @@
 /// Bytes of a prompt of [`MODEL`]'s size, and tokens that may come out.
 const REQUEST: (usize, u64) = (16_000, 400);
 
-const IDLE: Candidate = Candidate {
+const IDLE: BackendCandidate = BackendCandidate {
     requests: 0.0,
     slots: SLOTS,
-    stay: 1.0,
-    unread: 0,
-    uncached: 4_000,
+    residence_time: 1.0,
+    queued_prompt_tokens: 0,
+    uncached_prompt_tokens: 4_000,
     distance: Distance { time: 0.0, weight: 0.0 },
-    full: false,
+    memory_full: false,
     ejected: false,
 };
 
@@ -186,10 +186,10 @@
         let fits = |engine: &usize| wanted.is_none_or(|it| reach(place, *engine) == it);
         let there = |engine: &usize| !self.gone[*engine];
         let of: Vec<_> = (0..self.engines.len()).filter(there).filter(fits).collect();
-        drawn(of.len(), || self.rng.random()).into_iter().map(|at| of[at]).collect()
+        sample_indices(of.len(), || self.rng.random()).into_iter().map(|at| of[at]).collect()
     }
 
-    fn candidates(&self, place: usize, of: &[usize]) -> Vec<Candidate> {
+    fn candidates(&self, place: usize, of: &[usize]) -> Vec<BackendCandidate> {
         let word = |engine: &usize| {
             let (requests, at) = self.known[place].get(engine)?;
             Some(LoadEstimate { requests: *requests, age: self.now - at })
@@ -197,10 +197,12 @@
         let words: Vec<_> = of.iter().map(word).collect();
         let regions: Vec<_> = of.iter().map(|engine| region(*engine)).collect();
         let requests = match self.way {
-            Way::Any => others_now(&words, Some(1.0)),
-            Way::Each | Way::Nearest => others_by_region(&words, &regions, Some(1.0)),
+            Way::Any => estimate_other_requests(&words, Some(1.0)),
+            Way::Each | Way::Nearest => {
+                estimate_other_requests_by_region(&words, &regions, Some(1.0))
+            }
         };
-        let candidate = |(engine, requests): (&usize, f64)| Candidate {
+        let candidate = |(engine, requests): (&usize, f64)| BackendCandidate {
             requests,
             slots: self.slots,
             distance: distance(reach(place, *engine)),
@@ -224,7 +226,7 @@
                 for it in Reach::ALL {
                     compared.extend(self.two(place, Some(it)));
                     let usual = Some(self.usual(place));
-                    if !looks_further(&self.candidates(place, &compared), usual) {
+                    if !should_search_farther(&self.candidates(place, &compared), usual) {
                         break;
                     }
                 }
@@ -254,7 +256,7 @@
         self.reading[engine] = begin + self.read;
         ends.push(begin + self.read - f64::ln(1.0 - self.rng.random::<f64>()));
         self.known[place].insert(engine, (there as f64 + 1.0, self.now));
-        let truth = Candidate { requests: there as f64, ..candidates[chosen] };
+        let truth = BackendCandidate { requests: there as f64, ..candidates[chosen] };
         let wait = expected_wait(&self.model, &truth) + (begin - self.now) * 1_000.0;
         got.add(reach(place, engine), wait, there >= self.slots as usize);
     }
@@ -383,8 +385,8 @@
     fn weights_hold_no_request_back(
         queued in 0.0..50.0_f64, free in 0.0..11.0_f64, weight in 0.0..1e6_f64, random in 0.0..1.0_f64,
     ) {
-        let near = Candidate { requests: f64::from(SLOTS) + queued, ..IDLE };
-        let far = Candidate { requests: free, distance: Distance { time: 16.0, weight }, ..IDLE };
+        let near = BackendCandidate { requests: f64::from(SLOTS) + queued, ..IDLE };
+        let far = BackendCandidate { requests: free, distance: Distance { time: 16.0, weight }, ..IDLE };
         let gain = expected_wait(&MODEL, &near) - expected_wait(&MODEL, &far);
         prop_assume!(gain > 8.0);
         prop_assert_eq!(choose(&MODEL, &[near, far], || random), Some(1));
@@ -393,16 +395,16 @@
     /// One that is much fuller than others is passed over, however far these are and whatever bytes weigh.
     #[test]
     fn crowded_server_is_passed_over(crowd in 6.0..11.0_f64, weight in 0.0..1e6_f64) {
-        let near = Candidate { requests: crowd, ..IDLE };
-        let far = Candidate { requests: 3.0, distance: Distance { time: 16.0, weight }, ..IDLE };
+        let near = BackendCandidate { requests: crowd, ..IDLE };
+        let far = BackendCandidate { requests: 3.0, distance: Distance { time: 16.0, weight }, ..IDLE };
         prop_assert_eq!(choose_over_regions(&MODEL, &[near, far], 3.0, || 0.5), Some(1));
     }
 
     /// Among servers with a place, one is left only for a gain over the way and its bytes.
     #[test]
     fn bytes_count_among_servers_with_a_place(here in 0.0..11.0_f64, there in 0.0..11.0_f64) {
-        let near = Candidate { requests: here, ..IDLE };
-        let far = Candidate { requests: there, distance: distance(Reach::Remote), ..IDLE };
+        let near = BackendCandidate { requests: here, ..IDLE };
+        let far = BackendCandidate { requests: there, distance: distance(Reach::Remote), ..IDLE };
         let gain = expected_wait(&MODEL, &near) - expected_wait(&MODEL, &far);
         let weight = far.distance.weight;
         prop_assume!((gain - weight).abs() > 1e-6);
@@ -419,7 +421,7 @@
         let words: Vec<_> = words.into_iter().map(|it| it.map(word)).collect();
         let regions = vec![0; words.len()];
         prop_assert_eq!(
-            others_by_region(&words, &regions, Some(1.0)), others_now(&words, Some(1.0)),
+            estimate_other_requests_by_region(&words, &regions, Some(1.0)), estimate_other_requests(&words, Some(1.0)),
         );
     }
 }
--- a/tests/names.rs
+++ b/tests/names.rs
@@ -14,11 +14,10 @@
 const DONE: [&str; 3] = ["src/control", "src/decide", "src/relay"];
 
 /// Type names that still stand for two things, each to go.
-const DOUBLED: [&str; 12] = [
+const DOUBLED: [&str; 11] = [
     "Action",
     "Arguments",
     "Call",
-    "Candidate",
     "Command",
     "End",
     "Limits",
--- a/tests/placing.rs
+++ b/tests/placing.rs
@@ -4,7 +4,8 @@
 use std::time::{Duration, Instant};
 
 use emberturn::decide::choose::{
-    Candidate, LoadEstimate, affinity, choose, drawn, neighbours, others_now,
+    BackendCandidate, LoadEstimate, affinity, affinity_group, choose, estimate_other_requests,
+    sample_indices,
 };
 use emberturn::decide::distance::Distance;
 use emberturn::decide::engine::EngineModel;
@@ -98,23 +99,23 @@
         let fresh = &self.fresh[place];
         let all: Vec<_> = (0..self.engines.len()).collect();
         let list = if fresh.is_empty() { &all } else { fresh };
-        let drawn = drawn(list.len(), || rng.random());
+        let drawn = sample_indices(list.len(), || rng.random());
         let drawn: Vec<_> = drawn.into_iter().map(|it| list[it]).collect();
         let word = |engine: &usize| {
             let (requests, at) = self.known[place].get(engine)?;
             Some(LoadEstimate { requests: *requests, age: now - at })
         };
         let words: Vec<_> = drawn.iter().map(word).collect();
-        let candidates: Vec<_> = others_now(&words, Some(1.0))
+        let candidates: Vec<_> = estimate_other_requests(&words, Some(1.0))
             .into_iter()
-            .map(|requests| Candidate {
+            .map(|requests| BackendCandidate {
                 requests,
                 slots: SLOTS,
-                stay: 1.0,
-                unread: 0,
-                uncached: 3_000,
+                residence_time: 1.0,
+                queued_prompt_tokens: 0,
+                uncached_prompt_tokens: 3_000,
                 distance: Distance::default(),
-                full: false,
+                memory_full: false,
                 ejected: false,
             })
             .collect();
@@ -171,11 +172,11 @@
 fn few_are_compared_however_many_there_are() {
     let mut rng = SmallRng::seed_from_u64(1);
     for count in [1, 5, 32, 33, 204, 5_200] {
-        let mut places = drawn(count, || rng.random());
-        places.extend(neighbours(count, count / 2));
+        let mut places = sample_indices(count, || rng.random());
+        places.extend(affinity_group(count, count / 2));
         assert!(places.len() <= 40 && places.iter().all(|place| *place < count), "{places:?}");
     }
-    assert!(drawn(0, || 0.5).is_empty() && neighbours(0, 0).is_empty());
+    assert!(sample_indices(0, || 0.5).is_empty() && affinity_group(0, 0).is_empty());
 }
 
 #[test]
@@ -183,7 +184,7 @@
     let mut rng = SmallRng::seed_from_u64(2);
     let mut counts = vec![0_u32; 100];
     for _ in 0..10_000 {
-        drawn(100, || rng.random()).iter().for_each(|place| counts[*place] += 1);
+        sample_indices(100, || rng.random()).iter().for_each(|place| counts[*place] += 1);
     }
     let mean = counts.iter().sum::<u32>() / 100;
     assert!(counts.iter().all(|count| (mean / 2..2 * mean).contains(count)), "{counts:?}");
@@ -212,11 +213,11 @@
         let mean = others.iter().sum::<f64>() / others.len() as f64;
         words.push(Some(LoadEstimate { requests, age: 60.0 }));
         words.push(None);
-        let now = others_now(&words, Some(1.0));
+        let now = estimate_other_requests(&words, Some(1.0));
         prop_assert!((now[others.len()] - mean).abs() < 1e-6);
         prop_assert_eq!(now[others.len() + 1], 0.0);
         words.push(new(requests));
-        let now = others_now(&words, Some(1.0));
+        let now = estimate_other_requests(&words, Some(1.0));
         prop_assert!((now[others.len() + 2] - requests).abs() < 1e-6);
     }
 
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -4,27 +4,27 @@
 
 use std::collections::BTreeMap;
 
-use emberturn::decide::policy::{Facts, Policies, Ruling};
+use emberturn::decide::policy::{Policies, PolicyDecision, PolicyInput};
 use emberturn::state::config::Class;
 use emberturn::units::{Millis, Tokens};
 use emberturn_fakes::engine::{Engine, Options};
 use support::{BoxPlan, Cluster, base_change, prompt};
 use yare::parameterized;
 
-fn facts() -> Facts {
-    Facts {
+fn facts() -> PolicyInput {
+    PolicyInput {
         team: "portal".parse().unwrap(),
         service: "small".parse().unwrap(),
         class: Class::Interactive,
         data_centre: "dc1".parse().unwrap(),
-        prompt: Tokens(100),
-        output: Tokens(50),
+        prompt_tokens: Tokens(100),
+        max_tokens: Tokens(50),
         repeatable: true,
         may_wait: false,
     }
 }
 
-fn decide(program: &str) -> Result<Ruling, String> {
+fn decide(program: &str) -> Result<PolicyDecision, String> {
     let name = "p".parse().unwrap();
     let policies = Policies::compile(&BTreeMap::from([(name, program.to_owned())]));
     let decided = policies.decide(&"p".parse().unwrap(), &facts());
@@ -45,7 +45,7 @@
     assert_eq!(ruling.wait, Some(Millis(500)));
     assert_eq!(ruling.data_centres.len(), 2);
     assert!(ruling.on_demand && ruling.refuse.is_none());
-    assert_eq!(decide("fn decide(request) { #{} }"), Ok(Ruling::default()));
+    assert_eq!(decide("fn decide(request) { #{} }"), Ok(PolicyDecision::default()));
 }
 
 #[parameterized(
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code, reason = "each test takes what it needs")]
 mod platform;
 
-use emberturn::decide::choose::{Candidate, choose, expected_wait, split};
+use emberturn::decide::choose::{BackendCandidate, choose, choose_weighted, expected_wait};
 use emberturn::decide::distance::Distance;
 use emberturn::decide::engine::EngineModel;
 use emberturn::platform::document as wire;
@@ -82,7 +82,7 @@
     end_of_range = { &[5, 0], 1.0, Some(0) },
 )]
 fn split_follows_the_weights(weights: &[u32], random: f64, place: Option<usize>) {
-    assert_eq!(split(weights, random), place);
+    assert_eq!(choose_weighted(weights, random), place);
 }
 
 const MODEL: EngineModel = EngineModel {
@@ -96,30 +96,30 @@
     weight: 100.0,
 };
 
-const IDLE: Candidate = Candidate {
+const IDLE: BackendCandidate = BackendCandidate {
     requests: 0.0,
     slots: 8,
-    stay: 0.0,
-    unread: 0,
-    uncached: 1_000,
+    residence_time: 0.0,
+    queued_prompt_tokens: 0,
+    uncached_prompt_tokens: 1_000,
     distance: Distance { time: 0.0, weight: 0.0 },
-    full: false,
+    memory_full: false,
     ejected: false,
 };
 
 #[test]
 fn the_server_expected_to_begin_first_is_chosen() {
     let worse = [
-        Candidate { requests: 9.0, ..IDLE },
-        Candidate { unread: 50_000, ..IDLE },
-        Candidate { uncached: 4_000, ..IDLE },
-        Candidate { ejected: true, ..IDLE },
+        BackendCandidate { requests: 9.0, ..IDLE },
+        BackendCandidate { queued_prompt_tokens: 50_000, ..IDLE },
+        BackendCandidate { uncached_prompt_tokens: 4_000, ..IDLE },
+        BackendCandidate { ejected: true, ..IDLE },
     ];
     for other in worse {
         assert!(expected_wait(&MODEL, &other) > expected_wait(&MODEL, &IDLE), "{other:?}");
         assert_eq!(choose(&MODEL, &[other, IDLE], || 0.5), Some(1), "{other:?}");
     }
     assert_eq!(choose(&MODEL, &[], || 0.5), None);
-    let ejected = Candidate { ejected: true, ..IDLE };
+    let ejected = BackendCandidate { ejected: true, ..IDLE };
     assert_eq!(choose(&MODEL, &[ejected], || 0.5), Some(0));
 }
