--- a/src/decide/certainty.rs
+++ b/src/decide/certainty.rs
@@ -1,49 +1,50 @@
-//! What a box may say and do by the routes and keys that it holds.
+//! Decides which answers a box may give based on the routes and keys it has.
 //!
-//! Each answer claims something and has an aim of its own that bounds how old its ground may be. That no
-//! route leads somewhere, or that nobody has a key, is a guess once a change could have come into force
-//! unheard; that a key still holds, once it could have lost its effect.
+//! Each kind of answer has its own bound on the age of the configuration it is based on. A box can
+//! no longer be sure that a route or key does not exist once a change could have come into force
+//! without its knowledge, and no longer be sure that a key is valid once the key could have been
+//! revoked.
 
 use std::time::Duration;
 
-/// The part of the time in which a key must lose its effect that a box goes on without word from
-/// the group. The rest is for requests that are just being passed on.
+/// Share of the time in which a revoked key must become invalid for which a box accepts keys
+/// without hearing from the group. The rest is for requests that are just being forwarded.
 const KEY_MARGIN: f64 = 0.85;
 
-/// The operators' aims.
+/// The operators' targets for the propagation of changes.
 #[derive(Debug, Clone, Copy)]
 pub struct PropagationTargets {
-    /// A change is in force everywhere this long after it was acknowledged.
+    /// Time after its acknowledgement within which a change is in force everywhere.
     pub change: Duration,
-    /// A key that was taken away has no effect this long after.
+    /// Time after its revocation within which a key becomes invalid everywhere.
     pub revoke: Duration,
 }
 
-/// How sure a box is of its routes and keys.
+/// How current a box's routes and keys are.
 #[derive(Debug, Clone, Copy)]
 pub struct ConfigFreshness {
-    /// The aims that bound it.
+    /// The targets that bound their age.
     pub targets: PropagationTargets,
-    /// How long ago they were certainly the newest; `None`: that is not known.
+    /// How long ago they were known to be the latest; `None` if unknown.
     pub age: Option<Duration>,
-    /// Whether it was told that there are newer ones.
+    /// Whether the box was told that there are newer ones.
     pub is_behind: bool,
 }
 
 impl ConfigFreshness {
-    /// Whether the box may refuse a request for good because it holds no such route or key.
+    /// Whether the box may reject a request for good because it has no such route or key.
     pub fn may_reject_unknown(&self) -> bool {
         !self.is_behind && self.is_within(self.targets.change)
     }
 
-    /// Whether a request may run where the routes held say. A box that hears nothing goes on: it can't tell
-    /// whether anything has changed. One that knows of a change goes by the old routes no longer than the change
-    /// may take.
+    /// Whether a request may be sent where the known routes lead. A box without contact goes on, as
+    /// it cannot know whether anything has changed. A box that knows of a change may use its old
+    /// routes only for as long as a change may take to come into force.
     pub fn may_use_routes(&self) -> bool {
         !self.is_behind || self.is_within(self.targets.change)
     }
 
-    /// Whether a key that the box holds may be taken to hold still.
+    /// Whether a key that the box has may still be accepted.
     pub fn may_trust_keys(&self) -> bool {
         self.is_within(self.targets.revoke.mul_f64(KEY_MARGIN))
     }
--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -1,81 +1,87 @@
-//! Which backend server gets a request: the one that is expected to begin it first, distance counted.
+//! Chooses the backend server for a request: the one that is expected to start it first, including
+//! the network distance.
 //!
-//! Over several regions some servers are drawn of the nearest data centres, and some of the next ones only
-//! where those have no room. So a region under a burst spills over request by request, as far as its own
-//! servers fill up, and stops as they empty: there is no state that could swing.
+//! With several regions, servers of the nearest data centres are sampled first, and those of the
+//! next ones only if none of the former has room. Under a burst, a region therefore spills over
+//! request by request as its own servers fill up, and stops as they empty. There is no state that
+//! could oscillate.
 //!
-//! Pure: what is known and a random number in, a choice out.
+//! All functions are pure: they take the known state and random numbers, and return a choice.
 
 use super::distance::Distance;
 use super::engine::EngineModel;
 
-/// What a full set of running requests adds, in mean prompts. Engines give each token more slowly the
-/// more of them run, and most of them came with a prompt that is being read, so a nearly empty one is
-/// worth a small detour.
+/// Delay that a fully occupied server adds, in mean prompts. Engines generate each token more
+/// slowly the more requests they run, and most of these came with a prompt that still has to be
+/// read. So a nearly idle server is worth a small detour.
 const FULL_LOAD_PROMPTS: f64 = 2.0;
 
-/// Milliseconds until a place is left, before anything was learned of a service: a request of about a
-/// second, and some twenty places.
+/// Milliseconds until a slot becomes free, while nothing is known about a service: requests of
+/// about a second on some twenty slots.
 const DEFAULT_SLOT_WAIT_MS: f64 = 50.0;
 
-/// Milliseconds added at random, so that boxes with the same old reports do not all go one way.
+/// Maximum random delay in milliseconds, so that boxes with the same outdated reports do not all
+/// choose the same server.
 const JITTER_MS: f64 = 8.0;
 
-/// Milliseconds that a server set aside for its failures adds: it is taken when no other is left.
+/// Milliseconds that an ejected server adds. It is chosen only if no other server is left.
 const EJECTED_PENALTY_MS: f64 = 60_000.0;
 
-/// Milliseconds that a server adds whose memory has no room for the request: a longer wait than any caller bears,
-/// and less than one that is set aside adds.
+/// Milliseconds that a server adds whose memory has no room for the request: longer than any caller
+/// waits, and less than the penalty of an ejected server.
 const MEMORY_FULL_PENALTY_MS: f64 = 10_000.0;
 
-/// Servers of a service up to which all are compared. Above it a request compares a few: what it costs
-/// a box to choose does not grow with the servers, and boxes with the same old reports do not all go
-/// to the same one.
+/// Number of servers up to which all servers of a service are compared. Above it only a few are
+/// compared per request. The cost of a choice then does not grow with the number of servers, and
+/// boxes with the same outdated reports do not all choose the same one.
 const MAX_COMPARE_ALL: usize = 32;
 
-/// Servers drawn at random where there are more. With 300 boxes, 200 engines of 12 places at 0.6 of what
-/// they hold and loads up to 0.4 s old, 2.3 in 100 requests find no place with two, 3.1 with three and
-/// 14.8 with eight, as all boxes meet at the few that were idle last (`tests/placing.rs`).
+/// Number of servers sampled at random above [`MAX_COMPARE_ALL`]. In a simulation with 300 boxes
+/// and 200 engines of 12 slots, at 0.6 of their capacity and with load reports up to 0.4 s old, 2.3
+/// in 100 requests find no free slot with two samples, 3.1 with three and 14.8 with eight, because
+/// all boxes choose the few that were last idle (`tests/placing.rs`).
 const SAMPLE_SIZE: usize = 2;
 
-/// Servers that follow a shared part's place in their order, of which one is its home: enough to spread
-/// parts evenly, few enough to be compared for each request.
+/// Number of consecutive servers that may be the home of a shared prefix: enough to spread prefixes
+/// evenly, few enough to compare for each request.
 const AFFINITY_GROUP_SIZE: usize = 8;
 
-/// Seconds in which a word of a server loses most of its weight, at least: requests that stay for less
-/// may still stand in a queue.
+/// Minimum time constant in seconds with which a load report loses its weight. Requests that stay
+/// for a shorter time may still wait in a queue.
 const MIN_DECAY_SECONDS: f64 = 1.0;
 
-/// How many times the usual requests a server may have and still count as one with room. What an engine
-/// lacks may be its reading and not its places. Callers of a region that asked for 1.15 of its reading waited
-/// 761 ms on the mean where near ones were taken until their places were gone, 259 ms with this, and 153 ms with
-/// two drawn of all (`tests/distance.rs`). With 1.1 up to 0.14 of the requests leave a region that is as full as the others,
-/// against 0.03, as drawn servers differ by chance.
+/// Factor over the typical number of requests above which a server counts as crowded. An engine may
+/// be limited by its prompt reading rather than by its slots. In a simulation of a region with 1.15
+/// times the load that its engines can read, callers waited 761 ms on average if near servers were
+/// used until their slots were full, 259 ms with this factor, and 153 ms with two servers sampled
+/// from all regions (`tests/distance.rs`). With a factor of 1.1, up to 0.14 of the requests leave a
+/// region that is as full as the others, against 0.03, as the load of sampled servers differs by
+/// chance.
 const CROWDED_FACTOR: f64 = 1.25;
 
-/// One backend server that may be chosen.
+/// A backend server that may be chosen.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BackendCandidate {
-    /// Requests there, running and waiting, as far as can be told.
+    /// Estimated number of requests at the server, running and waiting.
     pub requests: f64,
-    /// Requests it runs at the same time.
+    /// Number of requests it runs at the same time.
     pub slots: u32,
-    /// Seconds that one of them stays there, 0 where nothing is known.
+    /// Seconds that a request stays at the server; 0 if unknown.
     pub residence_time: f64,
-    /// Prompt tokens it has to read before this request's.
+    /// Prompt tokens that it has to read before those of this request.
     pub queued_prompt_tokens: u64,
-    /// Prompt tokens of this request it has to read itself.
+    /// Prompt tokens of this request that are not in its cache.
     pub uncached_prompt_tokens: u64,
-    /// How far it is.
+    /// Network distance.
     pub distance: Distance,
-    /// Whether its memory holds no room for this request, where another's does.
+    /// Whether its memory has no room for this request while another server has.
     pub memory_full: bool,
-    /// Whether it is set aside for its failures.
+    /// Whether it is ejected because of failures.
     pub ejected: bool,
 }
 
 impl BackendCandidate {
-    /// Whether the request finds a place there, as far as can be told.
+    /// Whether there is probably a free slot for the request.
     fn has_free_slot(&self) -> bool {
         self.requests + 1.0 <= f64::from(self.slots) && !self.ejected
     }
@@ -85,20 +91,21 @@
     }
 }
 
-/// Whether a request finds a place at a server with `requests`, and the server is not much fuller than those
-/// with `usual` requests.
+/// Whether there is a free slot for a request at a server with `requests`, and the server is not
+/// much fuller than servers with the `typical` number of requests.
 pub fn has_room(requests: f64, slots: u32, typical: f64) -> bool {
     requests + 1.0 <= f64::from(slots).min(CROWDED_FACTOR * (typical + 1.0))
 }
 
-/// Whether farther servers are compared beside these: where none of them has a place, or all are much fuller
-/// than servers `usually` are, near and far. With some of each reach compared at once 0.41 of the requests
-/// leave their data centre at 0.6 of all places, against 0.16, and wait as long (`tests/distance.rs`).
+/// Whether farther servers have to be considered as well: none of the candidates has a free slot,
+/// or all of them are much fuller than servers typically are, near and far. If servers of all
+/// distances were always compared, 0.41 of the requests would leave their data centre at 0.6 of all
+/// slots, against 0.16, with the same waiting time (`tests/distance.rs`).
 pub fn should_search_farther(candidates: &[BackendCandidate], typical: Option<f64>) -> bool {
     !typical.is_some_and(|typical| candidates.iter().any(|it| it.has_room(typical)))
 }
 
-/// Milliseconds until the request begins there, as far as can be told.
+/// Estimated milliseconds until the server starts the request, plus the penalties of the server.
 pub fn expected_wait(model: &EngineModel, candidate: &BackendCandidate) -> f64 {
     let slots = f64::from(candidate.slots.max(1));
     let mean = model.mean_prefill_time() * 1_000.0;
@@ -106,7 +113,7 @@
         .prefill_time((candidate.queued_prompt_tokens + candidate.uncached_prompt_tokens) as f64)
         * 1_000.0;
     let crowd = (candidate.requests / slots).min(1.0) * FULL_LOAD_PROMPTS * mean;
-    // One that waits for a place waits for the prompts before it, and for places to be left.
+    // A request without a free slot waits for the prompts before it, and for a slot to become free.
     let known = mean.max(candidate.residence_time * 1_000.0 / slots);
     let slot_wait = if known > 0.0 { known } else { DEFAULT_SLOT_WAIT_MS };
     let wait = (candidate.requests + 1.0 - slots).max(0.0) * slot_wait;
@@ -115,22 +122,23 @@
     read + crowd + wait + candidate.distance.time + full + ejected
 }
 
-/// A server's last word of its load.
+/// The last load report of a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadEstimate {
-    /// Requests there, without this box's.
+    /// Requests at the server, excluding those of this box.
     pub requests: f64,
-    /// Seconds since that was true.
+    /// Age of the report in seconds.
     pub age: f64,
 }
 
-/// The weight of a word of a server's load after `age` seconds, where a request stays for about `stay`.
+/// Weight of a load report after `age` seconds, for requests that stay for `residence_time`
+/// seconds.
 pub(super) fn freshness(age: f64, residence_time: Option<f64>) -> f64 {
     (-age / residence_time.unwrap_or(MIN_DECAY_SECONDS).max(MIN_DECAY_SECONDS)).exp()
 }
 
-/// How many requests of other boxes are at each server now, where `regions` are the servers' regions: a
-/// region that is full says nothing of another. As [`estimate_other_requests`].
+/// Estimates the requests of other boxes at each server as [`estimate_other_requests`] does,
+/// separately for each of the servers' `regions`, as a full region says nothing about another one.
 pub fn estimate_other_requests_by_region(
     reports: &[Option<LoadEstimate>],
     regions: &[usize],
@@ -152,9 +160,10 @@
     others
 }
 
-/// How many requests of other boxes are at each server now. Requests stay for about `stay` seconds, so
-/// an old word says less and less of its server, and what the new ones say of all of them counts more.
-/// One that has told nothing yet has just come, and is taken to be idle.
+/// Estimates how many requests of other boxes are at each server now. As requests stay for
+/// `residence_time` seconds, an older report says less about its server, and its estimate moves
+/// towards the weighted mean of all reports. A server without a report has just started and is
+/// assumed to be idle.
 pub fn estimate_other_requests(
     reports: &[Option<LoadEstimate>],
     residence_time: Option<f64>,
@@ -168,21 +177,21 @@
     reports.iter().map(|report| report.as_ref().map_or(0.0, now)).collect()
 }
 
-/// How much a server is the home of a shared part: at the one of the largest affinity all boxes expect
-/// the part. Both numbers are hashes.
+/// Rendezvous weight of a server for a shared prefix: all boxes expect the prefix at the server
+/// with the largest one. Both arguments are hashes.
 pub fn affinity(part: u64, server: u64) -> u64 {
     let mixed = (part ^ server.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed ^ (mixed >> 31)
 }
 
-/// Whether all servers of a service are compared, where there are so many.
+/// Whether all of `count` servers are compared.
 pub fn compares_all(count: usize) -> bool {
     count <= MAX_COMPARE_ALL
 }
 
-/// The servers among which the home of a shared part is, where the part stands before the server at
-/// `part` in the order of `count` servers.
+/// Returns the indices of the servers that may be the home of a shared prefix, where `part` is the
+/// index of the first server that follows the prefix in the order of `count` servers.
 pub fn affinity_group(count: usize, part: usize) -> Vec<usize> {
     match compares_all(count) {
         true => (0..count).collect(),
@@ -190,8 +199,8 @@
     }
 }
 
-/// The servers to compare, drawn from `count` of which something is known; `random` gives numbers from 0
-/// to 1.
+/// Returns the indices of the servers to compare, sampled from `count`. `random` returns numbers
+/// from 0 to 1.
 pub fn sample_indices(count: usize, mut random: impl FnMut() -> f64) -> Vec<usize> {
     if count <= SAMPLE_SIZE {
         return (0..count).collect();
@@ -206,8 +215,9 @@
     sampled
 }
 
-/// The place of the candidate chosen, in one region; `random` gives numbers from 0 to 1. What bytes weigh
-/// counts only while that leads to a server with a place: nobody waits so that bytes stay near.
+/// Returns the index of the chosen candidate within one region. `random` returns numbers from 0 to
+/// 1. The cost of transferred bytes counts only while it leads to a server with a free slot: no
+/// request waits in order to keep bytes local.
 pub fn choose(
     model: &EngineModel,
     candidates: &[BackendCandidate],
@@ -221,9 +231,9 @@
     }
 }
 
-/// The place of the candidate chosen, over several regions, where servers have `usual` requests. One that
-/// is much fuller is passed over while another is not: the way to another region is a small part of what
-/// a queue takes.
+/// Returns the index of the chosen candidate over several regions, where servers have the `typical`
+/// number of requests. A much fuller server is passed over if another one is not: the latency to
+/// another region is small compared to waiting in a queue.
 pub fn choose_over_regions(
     model: &EngineModel,
     candidates: &[BackendCandidate],
@@ -240,7 +250,7 @@
     index_of_min(costs.waits().zip(candidates).map(|(wait, it)| wait + penalty(it)))
 }
 
-/// What candidates cost, in milliseconds.
+/// The costs of the candidates in milliseconds.
 struct Costs<'a> {
     candidates: &'a [BackendCandidate],
     waits: Vec<f64>,
@@ -265,12 +275,13 @@
     }
 }
 
-/// The place of the least number.
+/// Returns the index of the smallest number.
 fn index_of_min(numbers: impl Iterator<Item = f64>) -> Option<usize> {
     numbers.enumerate().min_by(|a, b| a.1.total_cmp(&b.1)).map(|(index, _)| index)
 }
 
-/// Which of `weights` a number from 0 to 1 falls on; `None` when all are 0.
+/// Returns the index that `random`, a number from 0 to 1, selects in proportion to `weights`;
+/// `None` if all weights are 0.
 pub fn choose_weighted(weights: &[u32], random: f64) -> Option<usize> {
     let total: u64 = weights.iter().map(|weight| u64::from(*weight)).sum();
     let mut position = (random * total as f64) as u64;
--- a/src/decide/faults.rs
+++ b/src/decide/faults.rs
@@ -1,19 +1,21 @@
-//! Servers that fail the requests of a route although they are well otherwise.
+//! Tracks servers that fail the requests of one route while they are healthy otherwise.
 //!
-//! A server may be well by its health check, and by all other requests, and still fail one kind of
-//! them. So faults are kept for each server, in its life, and route: one that failed is passed over for a
-//! while, longer each time, and one success ends it.
+//! A server may pass its health check and answer all other requests, and still fail one kind of
+//! request. So faults are tracked per route, for each server in its current incarnation. After a
+//! failure the server is avoided for the route for a while, longer after each consecutive failure;
+//! one success ends it.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// How long a server is passed over after its first fault; doubled each time up to [`MAX_AVOID_TIME`].
+/// How long a server is avoided after its first failure; doubled after each further one up to
+/// [`MAX_AVOID_TIME`].
 const INITIAL_AVOID_TIME: Duration = Duration::from_millis(2_000);
 
-/// The longest time a server is passed over.
+/// Maximum time for which a server is avoided.
 const MAX_AVOID_TIME: Duration = Duration::from_secs(60);
 
-/// Routes of one server above which those whose time is over are forgotten.
+/// Number of routes per server from which expired entries are removed.
 const MAX_ROUTES: usize = 256;
 
 #[derive(Debug, Clone, Copy)]
@@ -22,14 +24,14 @@
     consecutive: u32,
 }
 
-/// The faults that this box has seen of one server in one life, by route.
+/// Faults of one server in one incarnation, as seen by this box, by route.
 #[derive(Debug, Default)]
 pub struct FaultTracker {
     faults: HashMap<String, RouteFault>,
 }
 
 impl FaultTracker {
-    /// Notes that the server failed a request of a route.
+    /// Records that the server failed a request on a route.
     pub fn record_failure(&mut self, route: &str, now: Instant) {
         if self.faults.len() >= MAX_ROUTES {
             self.faults.retain(|_, fault| fault.until > now);
@@ -42,12 +44,12 @@
         );
     }
 
-    /// Notes that the server answered a request of a route well.
+    /// Records that the server answered a request on a route successfully.
     pub fn record_success(&mut self, route: &str) {
         self.faults.remove(route);
     }
 
-    /// Whether the server is passed over for a route.
+    /// Whether the server is avoided for a route.
     pub fn is_avoided(&self, route: &str, now: Instant) -> bool {
         self.faults.get(route).is_some_and(|fault| fault.until > now)
     }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -1,38 +1,42 @@
-//! The decisions: pure functions and state machines that take time, randomness and what is known as
-//! arguments and do no I/O.
+//! Decision logic: pure functions and state machines. They take the time, random numbers and the known
+//! state as arguments, and do no I/O.
 //!
-//! - [`absence`], [`hazard`]: which data centres have no reclaimable engines, for how long, and which may be
-//!   next.
-//! - [`memory`]: what a box keeps in memory, and when it takes no more; [`slowness`]: whom it lets go.
+//! - [`absence`], [`hazard`]: which data centres currently have no reclaimable engines, for how long, and
+//!   which may be next.
+//! - [`memory`]: memory accounting of a box, and when it accepts no more; [`slowness`]: which slow
+//!   callers it disconnects.
 //! - [`pause`]: the pauses that servers ask a box for.
-//! - [`policy`]: operators' short programs that say where work goes and what may wait.
+//! - [`policy`]: operators' programs that decide where requests may run and whether they may wait.
 //! - [`admission`]: whether a request may run now, within its team's limits.
 //! - [`allowance`], [`token_bucket`]: a team's rate limit, on one box and over all boxes.
-//! - [`engine`], [`capacity`]: what engines can do, learned, and how many a load is worth.
-//! - [`certainty`]: what a box may say by the routes and keys that it holds.
-//! - [`choose`]: which engine a relay sends to; [`faults`]: which ones it passes over for a route.
-//! - [`distance`]: how far data centres are, learned; [`spill`]: when requests leave their region.
+//! - [`engine`], [`capacity`]: learned performance of engines, and how many engines a load requires.
+//! - [`certainty`]: which answers a box may give, depending on the age of its routes and keys.
+//! - [`choose`]: which backend server a relay sends a request to; [`faults`]: which servers it avoids
+//!   for a route.
+//! - [`distance`]: learned network distances between data centres; [`spill`]: when requests leave
+//!   their region.
 //! - [`filling`]: which engines have memory left for a request.
-//! - [`ends`]: under which requests servers ended; [`quarantine`]: which requests no server gets any more.
-//! - [`exposure`], [`verdict`]: how far a new release goes, and whether it is bad; [`releases`] and [`rollout`]
-//!   are what a box and the leader make of it.
-//! - [`presence`]: how many relays there are, as a leader can tell.
+//! - [`ends`]: under which requests servers crashed; [`quarantine`]: which requests are no longer sent to
+//!   any server.
+//! - [`exposure`], [`verdict`]: how many requests a release on trial may get, and whether it is bad;
+//!   [`releases`] and [`rollout`]: roll-outs at a box and at the leader.
+//! - [`presence`]: how many relays there are, as far as a leader knows.
 //! - [`retry_budgets`]: how many requests a relay may retry, by service.
-//! - [`lives`]: which life a server is in, and when a box asks it.
-//! - [`loads`]: what servers' loads a box is told.
-//! - [`subset`]: which servers of a large fleet a box knows.
+//! - [`lives`]: which incarnation a server is in, and when to check for a restart.
+//! - [`loads`]: which load reports of servers a box receives.
+//! - [`subset`]: which servers of a large fleet a box connects to.
 //! - [`queue`]: which waiting request is next when capacity becomes available.
-//! - [`route`]: which backend server takes a request.
+//! - [`route`]: which backend server takes a generation request.
 //! - [`retry`]: how many further attempts an entry node may make.
-//! - [`reclaim`]: what becomes of a stream whose engine is leaving.
+//! - [`reclaim`]: what happens to a stream whose engine is being reclaimed.
 //! - [`share`]: which share of a fleet-wide limit each node may use.
-//! - [`orders`]: what orders for engines stand for until the list shows it.
-//! - [`spend`]: how many engines a service is to have, where, of which kind.
+//! - [`orders`]: ordered engines that the platform's list does not show yet.
+//! - [`spend`]: how many engines of which kind each service gets, and where.
 //! - [`intervals`]: how often boxes report to the leader and look for a lost one.
-//! - [`nearest`]: which replica a box follows the configuration at.
+//! - [`nearest`]: from which replica a box follows the configuration.
 //! - [`report_delta`]: incremental reports of a box to the leader.
 //! - [`throttle`], [`limit_leases`]: the request limits that backend servers announce, at a box and over all boxes.
-//! - [`topology`]: which data centres make up which region, and how far they are.
+//! - [`topology`]: which data centres belong to which region, and the distances between them.
 
 pub mod absence;
 pub mod admission;
--- a/src/decide/policy.rs
+++ b/src/decide/policy.rs
@@ -1,18 +1,18 @@
-//! Policies: short programs in Rhai that operators change while traffic flows.
+//! Policies: short programs in Rhai that operators can change at run time.
 //!
-//! A program defines `fn decide(request)` and returns a map with any of:
+//! A program defines `fn decide(request)`, which returns a map with any of these keys:
 //!
 //! | key | meaning |
 //! |---|---|
 //! | `data_centres` | list of names; only backend servers there are used |
 //! | `class` | `"interactive"` or `"batch"` |
-//! | `wait_ms` | longest time in the queue |
+//! | `wait_ms` | maximum time in the queue |
 //! | `on_demand` | `true`: only backend servers whose box cannot be reclaimed |
-//! | `refuse` | a sentence; the request is refused with it |
+//! | `refuse` | text with which the request is refused |
 //!
-//! `request` holds `team`, `service`, `class`, `data_centre`, `prompt_tokens`, `max_tokens`,
-//! `repeatable`, `may_wait`. A program that fails, runs too many operations or returns something
-//! else is passed over: the built-in rules decide, and the fault is counted and logged.
+//! `request` has the fields `team`, `service`, `class`, `data_centre`, `prompt_tokens`,
+//! `max_tokens`, `repeatable` and `may_wait`. If a program fails, exceeds the limit of operations
+//! or returns anything else, the built-in rules decide, and the error is counted and logged.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -24,49 +24,49 @@
 use crate::state::config::Class;
 use crate::units::{Millis, Tokens};
 
-/// Operations a run may take; about 10 ns each.
+/// Maximum number of operations in a run; each takes about 10 ns.
 const OPERATION_LIMIT: u64 = 5_000;
 
-/// Depth of calls, and of expressions.
+/// Maximum depth of calls, and of expressions.
 const DEPTH_LIMIT: usize = 32;
 
-/// Elements of an array or map, and characters of a text.
+/// Maximum number of elements in an array or map, and of characters in a string.
 const SIZE_LIMIT: usize = 4_096;
 
-/// The function every policy defines.
+/// The function that every policy defines.
 const FUNCTION: &str = "decide";
 
-/// What a policy is told of a request.
+/// What a policy is told about a request.
 #[derive(Debug, Clone)]
 pub struct PolicyInput {
-    /// Whose request.
+    /// Team that sent the request.
     pub team: TeamName,
-    /// For which service.
+    /// Service that the request is for.
     pub service: ServiceName,
-    /// Its class without a policy.
+    /// Class of the request without a policy.
     pub class: Class,
-    /// The data centre of the deciding node.
+    /// Data centre of the deciding node.
     pub data_centre: DataCentre,
     /// Estimated tokens of the prompt.
     pub prompt_tokens: Tokens,
-    /// Tokens it may generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: Tokens,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether its caller would take the answer later.
+    /// Whether the caller accepts a later answer.
     pub may_wait: bool,
 }
 
-/// What a policy decided; the default leaves everything to the built-in rules.
+/// What a policy has decided. The default leaves everything to the built-in rules.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PolicyDecision {
-    /// Data centres that may be used; empty: all.
+    /// Data centres that may be used; all if empty.
     pub data_centres: Vec<DataCentre>,
-    /// The class.
+    /// Class of the request.
     pub class: Option<Class>,
-    /// The longest time in the queue.
+    /// Maximum time in the queue.
     pub wait: Option<Millis>,
-    /// Whether boxes that may be reclaimed are out.
+    /// Whether reclaimable boxes are excluded.
     pub on_demand: bool,
     /// Why the request is refused, if it is.
     pub refuse: Option<String>,
@@ -76,13 +76,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("policy {policy}: {detail}")]
 pub struct PolicyError {
-    /// Which.
+    /// Name of the policy.
     pub policy: PolicyName,
     /// What went wrong.
     pub detail: String,
 }
 
-/// The compiled policies of one revision.
+/// The compiled policies of one revision of the configuration.
 #[derive(Default)]
 pub struct Policies {
     engine: Option<Arc<Engine>>,
@@ -96,7 +96,7 @@
 }
 
 impl Policies {
-    /// Compiles each program once. One that does not compile is kept as a fault.
+    /// Compiles each program once. For a program that does not compile, the error is kept.
     pub fn compile(programs: &BTreeMap<PolicyName, String>) -> Self {
         if programs.is_empty() {
             return Self::default();
@@ -116,8 +116,8 @@
     /// Runs a policy.
     ///
     /// # Errors
-    /// When the policy is missing, does not compile, fails, or returns something that is not a
-    /// ruling. Built-in rules decide then.
+    /// Fails if the policy is missing, does not compile, fails at run time, or returns something
+    /// that is not a valid decision. The built-in rules apply then.
     pub fn decide(
         &self,
         name: &PolicyName,
@@ -136,7 +136,7 @@
         parse_decision(result).map_err(policy_error)
     }
 
-    /// The faults of programs that do not compile, by name.
+    /// Returns the errors of the programs that do not compile, ordered by name.
     pub fn compile_errors(&self) -> Vec<PolicyError> {
         let errors = self.programs.iter().filter_map(|(name, program)| {
             let detail = program.as_ref().err()?.clone();
--- a/src/decide/route.rs
+++ b/src/decide/route.rs
@@ -1,10 +1,10 @@
-//! Which backend server takes a request.
+//! Chooses the backend server for a generation request.
 //!
-//! The cost of a server is the time the request would spend there, in seconds, plus what its place
-//! costs in risk and money. Load reports lag, so each is corrected by what this node has sent since.
-//! Of a few candidates drawn at random the cheapest wins: many nodes with the same old report then do
-//! not all choose the same server (Mitzenmacher, "The Power of Two Choices in Randomized Load
-//! Balancing", 2001).
+//! The cost of a server is the time in seconds that the request would spend there, plus the cost of
+//! its location in risk and money. Load reports lag, so each is corrected by the requests that this
+//! node has sent since. Of a few randomly sampled candidates the cheapest is chosen, so that many
+//! nodes with the same outdated report do not all choose the same server (Mitzenmacher, "The Power
+//! of Two Choices in Randomized Load Balancing", 2001).
 
 use rand::Rng;
 use rand::seq::index::sample;
@@ -12,72 +12,73 @@
 use crate::ids::{BackendId, DataCentre};
 use crate::units::{Price, Tokens};
 
-/// Candidates drawn for each decision.
+/// Number of candidates sampled for each decision.
 const SAMPLE_SIZE: usize = 4;
 
-/// Servers a prompt's beginning belongs to.
+/// Number of servers that a prompt prefix has an affinity to.
 const PREFERRED_SERVERS: usize = 2;
 
-/// Blocks that make a prompt's beginning.
+/// Number of blocks in the prefix that determines the affinity.
 const AFFINITY_BLOCKS: usize = 4;
 
-/// The share of a prompt that is taken to be cached at its home.
+/// Share of a prompt that is assumed to be cached at a preferred server.
 const ASSUMED_CACHED_SHARE: f64 = 0.7;
 
-/// Seconds a prompt token takes to compute, until better is known.
+/// Seconds to compute a prompt token, while no measurement is available.
 const DEFAULT_PREFILL_SECONDS: f64 = 100e-6;
 
-/// Seconds a whole slot's worth of queue costs, until better is known.
+/// Seconds of a request, while no measurement is available.
 const DEFAULT_SERVICE_SECONDS: f64 = 0.5;
 
-/// What a server's fill weighs below its slots, as a share of a request's time: nothing queues there
-/// yet, only the tokens come slower.
+/// Weight of the squared occupancy, as a share of a request's time. Below the number of slots
+/// nothing is queued yet, only tokens are generated more slowly.
 const OCCUPANCY_WEIGHT: f64 = 0.05;
 
-/// Seconds that a price of one unit of currency an hour weighs.
+/// Seconds that a price of one unit of currency per hour is worth.
 const PRICE_SECONDS: f64 = 0.02;
 
-/// Seconds that a hop to another data centre costs.
+/// Seconds added for a server in another data centre.
 const DISTANCE_SECONDS: f64 = 0.002;
 
-/// The chance that a reclaimable box is taken back within a second of work, times the seconds of
-/// work a loss costs.
+/// Probability that a reclaimable box is reclaimed within a second of work, times the seconds of
+/// work that its loss costs.
 const RECLAIM_RISK: f64 = 0.000_2;
 
-/// The fill from which a server counts as crowded: reports are old, and other nodes send as well.
+/// Occupancy from which a server counts as crowded. Below 1, as reports are old and other nodes
+/// send requests as well.
 const CROWDED_OCCUPANCY: f64 = 0.7;
 
-/// A backend server as the decision sees it.
+/// A backend server that may be chosen.
 #[derive(Debug, Clone)]
 pub struct Candidate {
-    /// Which.
+    /// ID of the server.
     pub id: BackendId,
-    /// Where.
+    /// Data centre of the server.
     pub data_centre: DataCentre,
-    /// Requests it runs well at the same time.
+    /// Number of requests that it runs well at the same time.
     pub slots: u32,
-    /// Requests running or waiting there by the last report; `None`: no report.
+    /// Requests running or waiting there by the last report; `None` without a report.
     pub reported: Option<u32>,
-    /// This node's requests in flight there when the report was made.
+    /// Requests of this node in flight there when the report was made.
     pub own_at_report: u32,
-    /// This node's requests in flight there now.
+    /// Requests of this node in flight there now.
     pub own_now: u32,
-    /// Prompt tokens likely cached there.
+    /// Prompt tokens that are probably cached there.
     pub cached: Tokens,
-    /// The server's weight for this prompt's beginning; the same at every node.
+    /// The server's weight for the prefix of this prompt, the same at every node.
     pub affinity: u64,
-    /// The mean time of a request there, in seconds.
+    /// Mean time of a request there, in seconds.
     pub service_time: Option<f64>,
-    /// What its box costs.
+    /// Price of its box.
     pub price: Price,
-    /// Whether its box may be taken back.
+    /// Whether its box may be reclaimed.
     pub reclaimable: bool,
 }
 
 /// What the request needs.
 #[derive(Debug, Clone)]
 pub struct Need {
-    /// The deciding node's data centre.
+    /// Data centre of the deciding node.
     pub data_centre: DataCentre,
     /// Tokens of the prompt.
     pub prompt: Tokens,
@@ -86,7 +87,7 @@
 }
 
 impl Candidate {
-    /// Requests there now, as far as this node can tell.
+    /// Estimated number of requests at the server now.
     pub fn occupancy(&self) -> f64 {
         match self.reported {
             Some(reported) => {
@@ -97,18 +98,18 @@
         }
     }
 
-    /// Whether it can take one more without queueing for long.
+    /// Whether it can take one more request without a long queue.
     pub fn has_free_slot(&self) -> bool {
         self.occupancy() < f64::from(self.slots)
     }
 
-    /// The cost of the request there, in seconds.
+    /// Cost of the request at the server, in seconds.
     pub fn cost(&self, need: &Need) -> f64 {
         self.cost_at(need, false)
     }
 
-    /// The cost where the server may be one of the prompt's homes: part of the prompt is likely
-    /// cached there by other nodes' requests.
+    /// Cost of the request, where a preferred server is assumed to have cached part of the prompt
+    /// for requests of other nodes.
     fn cost_at(&self, need: &Need, is_preferred: bool) -> f64 {
         let slots = f64::from(self.slots.max(1));
         let service = self.service_time.unwrap_or(DEFAULT_SERVICE_SECONDS);
@@ -126,7 +127,7 @@
     }
 }
 
-/// Chooses a server for the request among those that are open; `None` when none is.
+/// Chooses a server among those with a free slot; `None` if there is none.
 pub fn choose<'a, R: Rng>(
     candidates: &'a [Candidate],
     need: &Need,
@@ -137,8 +138,9 @@
         return None;
     }
     let sampled = sample(random, free.len(), SAMPLE_SIZE.min(free.len()));
-    // The server with the longest cached prefix is always looked at: chance would miss it. So are the
-    // prompt's homes, where other nodes send what begins alike, until they have filled up.
+    // The server with the longest cached prefix is always compared, as sampling would often miss
+    // it. So are the preferred servers, to which other nodes send prompts with the same prefix,
+    // until they are crowded.
     let longest_cached = free.iter().filter(|it| it.cached.0 > 0).max_by_key(|it| it.cached);
     let preferred_servers = preferred_servers(&free);
     let by_chance = sampled
@@ -152,8 +154,8 @@
     best.map(|(candidate, _)| candidate)
 }
 
-/// The servers with the largest weights for the prompt's beginning that are not crowded; none for a
-/// prompt without a beginning.
+/// The servers with the largest affinity to the prompt's prefix that are not crowded. Empty for a
+/// prompt that is too short to have a prefix.
 fn preferred_servers<'a>(free: &[&'a Candidate]) -> Vec<&'a Candidate> {
     let has_room = |it: &&&Candidate| it.occupancy() < f64::from(it.slots) * CROWDED_OCCUPANCY;
     let eligible = free.iter().filter(|it| it.affinity > 0).filter(has_room);
@@ -163,8 +165,8 @@
     ordered
 }
 
-/// A server's weight for a prompt's beginning, the same at every node (rendezvous hashing; Thaler and
-/// Ravishankar, 1998). 0 for a prompt too short to have one.
+/// A server's weight for a prompt prefix, the same at every node (rendezvous hashing; Thaler and
+/// Ravishankar, 1998). 0 for a prompt that is too short to have a prefix.
 pub fn affinity(id: &BackendId, prefixes: &[u64]) -> u64 {
     let Some(beginning) = prefixes.get(..AFFINITY_BLOCKS).and_then(|it| it.last()) else {
         return 0;
@@ -179,7 +181,7 @@
     value ^ (value >> 29)
 }
 
-/// The hashes of a prompt's leading blocks, each covering all before it.
+/// Hashes of a prompt's leading blocks; each hash covers all blocks up to its own.
 pub fn prefix_hashes(prompt: &str) -> Vec<u64> {
     const BLOCK_BYTES: usize = 64;
     const BLOCK_LIMIT: usize = 64;
@@ -194,5 +196,5 @@
     hashes
 }
 
-/// Tokens of one block of [`prefix_hashes`].
+/// Estimated tokens in a block of [`prefix_hashes`].
 pub const BLOCK_TOKENS: u64 = 16;
