--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -24,7 +24,7 @@
 //! - [`retry_budgets`]: how many requests a relay may retry, by service.
 //! - [`lives`]: which incarnation a server is in, and when to check for a restart.
 //! - [`loads`]: which load reports of servers a box receives.
-//! - [`subset`]: which servers of a large fleet a box connects to.
+//! - [`subset`]: which servers of a large fleet a box keeps track of.
 //! - [`queue`]: which waiting request is next when capacity becomes available.
 //! - [`route`]: which backend server takes a generation request.
 //! - [`retry`]: how many further attempts an entry node may make.
