--- a/src/relay/pick.rs
+++ b/src/relay/pick.rs
@@ -74,7 +74,7 @@
 /// Servers and what is known about each; all vectors have the same order.
 struct Comparison {
     servers: Vec<LocatedServer>,
-    candidates: Vec<Candidate>,
+    candidates: Vec<BackendCandidate>,
     /// For each server, the one it would copy the shared prefix from.
     prefix_sources: Vec<Option<LocatedServer>>,
 }
@@ -210,7 +210,7 @@
         let stay = (!stays.is_empty()).then(|| stays.iter().sum::<f64>() / stays.len() as f64);
         let estimates: Vec<_> = servers.iter().map(|it| it.known.load_estimate()).collect();
         let regions: Vec<_> = servers.iter().map(|it| it.region_index).collect();
-        let others = others_by_region(&estimates, &regions, stay);
+        let others = estimate_other_requests_by_region(&estimates, &regions, stay);
         let now = Instant::now();
         let room = self.have_room(&servers, &others);
         let any_room = room.contains(&true);
@@ -224,9 +224,9 @@
             BackendCandidate {
                 requests: others[index] + f64::from(known.state.in_flight()),
                 slots: known.server.slots,
-                stay: stay.unwrap_or_default(),
-                unread: known.queued_prompt_tokens(),
-                uncached: self.call.prompt_tokens().saturating_sub(cached),
+                residence_time: stay.unwrap_or_default(),
+                queued_prompt_tokens: known.queued_prompt_tokens(),
+                uncached_prompt_tokens: self.call.prompt_tokens().saturating_sub(cached),
                 distance: distances[index],
                 memory_full: any_room && !room[index],
                 ejected: known.state.is_ejected() || known.state.is_avoided(&self.route.name, now),
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -20,7 +20,7 @@
 use super::table::{Route, RouteTable, Team};
 use super::taking;
 use crate::clock;
-use crate::decide::choose::split;
+use crate::decide::choose::choose_weighted;
 use crate::decide::memory::{LOWEST_URGENCY, MemoryClaim};
 use crate::error::{Failure, Kind};
 use crate::http::answer;
