--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -215,8 +215,8 @@
     sampled
 }
 
-/// Returns the index of the chosen candidate within one region. `random` returns numbers from 0 to
-/// 1. The cost of transferred bytes counts only while it leads to a server with a free slot: no
+/// Returns the index of the chosen candidate within one region. `random` gives random numbers between 0
+/// and 1. The cost of transferred bytes counts only while it leads to a server with a free slot: no
 /// request waits in order to keep bytes local.
 pub fn choose(
     model: &EngineModel,
