--- a/src/decide/loads.rs
+++ b/src/decide/loads.rs
@@ -49,7 +49,7 @@
     /// The number of requests that are still there, if no more were sent since and a request stays for about
     /// `stay` seconds.
     pub fn decayed_requests(&self, stay: Option<f64>) -> f64 {
-        f64::from(self.requests) * fresh_part(self.age.duration().as_secs_f64(), stay)
+        f64::from(self.requests) * freshness(self.age.duration().as_secs_f64(), stay)
     }
 }
 
