--- a/bench/src/decisions.rs
+++ b/bench/src/decisions.rs
@@ -157,7 +157,7 @@
     let mut distances = Distances::default();
     let now = Instant::now();
     for name in names.iter().cycle().take(200) {
-        distances.note(name, Duration::from_millis(9), now);
+        distances.record_connect(name, Duration::from_millis(9), now);
     }
     let mut all: Vec<_> = (0..count).map(remote).collect();
     all.sort_unstable_by_key(|it| it.hash);
--- a/src/control/document_fetch.rs
+++ b/src/control/document_fetch.rs
@@ -10,7 +10,7 @@
 
 use rand::Rng;
 
-use crate::decide::nearest::Nearest;
+use crate::decide::nearest::ReplicaSelector;
 use crate::ids::BoxId;
 use crate::node::Node;
 use crate::peer::Peers;
@@ -71,7 +71,7 @@
 /// A box's way to the document.
 struct DocumentFetch {
     node: Arc<Node>,
-    nearest: Nearest,
+    nearest: ReplicaSelector,
     /// The replica that had no piece last.
     failed: Option<BoxId>,
     pieces: Pieces,
@@ -85,7 +85,7 @@
 pub(crate) async fn run(node: Arc<Node>) {
     let mut fetch = DocumentFetch {
         node,
-        nearest: Nearest::new(rand::random()),
+        nearest: ReplicaSelector::new(rand::random()),
         failed: None,
         pieces: Pieces::default(),
         begun: Instant::now(),
@@ -140,9 +140,9 @@
         let (box_id, addr) = self.choose()?;
         let piece = ask_at(&self.node.peers, &box_id, addr, ask).await;
         match piece {
-            Some(_) => self.nearest.answered(&box_id),
+            Some(_) => self.nearest.record_success(&box_id),
             None => {
-                self.nearest.failed(&box_id, Instant::now());
+                self.nearest.record_failure(&box_id, Instant::now());
                 self.failed = Some(box_id);
             }
         }
--- a/src/control/heartbeat.rs
+++ b/src/control/heartbeat.rs
@@ -192,13 +192,13 @@
             relay.releases().apply_updates(reply.releases);
             if let Some(word) = reply.engines {
                 told.models = Some(word.print);
-                relay.engines().take(word.models);
+                relay.engines().apply_pooled(word.models);
             }
             relay.servers.apply_part_loads(&reply.loads);
             // After a stop of everything the leader knows this about 0.3 s before the other replicas can be sure.
             let age = reply.age.map(Duration::from_millis);
             relay.context.board.record_answer(reply.document, access.leader(), asked, age);
-            quarantine::take_answer(relay, &beat.quarantine, reply.quarantine, reply.lacks);
+            quarantine::apply_answer(relay, &beat.quarantine, reply.quarantine, reply.lacks);
             relay.usage().forget(reply.settled);
             told.telling.handle_answer(news, reply.lacks, reply.settled);
             if reply.lacks {
--- a/src/decide/distance.rs
+++ b/src/decide/distance.rs
@@ -1,12 +1,14 @@
-//! How far data centres are from a box, learned, and what it weighs to use a server there.
+//! Estimates the round-trip time from a box to each data centre, and the cost of using a server
+//! there.
 //!
-//! Load: a fleet over several regions. A request that leaves its region waits for the way there and back
-//! and takes bytes along that cost a multiple of those inside, so distance has to be known to be weighed
-//! against the wait at a nearer server.
+//! In a fleet over several regions, a request that leaves its region pays a round trip and
+//! transfers bytes that cost several times those within a region. Server selection weighs this
+//! distance against the wait at a nearer server.
 //!
-//! A connect takes the way there and back once, and longer where either side is busy. So a low quantile
-//! of the last ones counts. It is forgotten when nothing new was seen for long: a way may have changed,
-//! and what a stale one hides would never be tried again.
+//! A TCP connect takes one round trip, and longer if either side is busy, so the estimate is a low
+//! quantile of the recent connect times. It expires when no connect was seen for long: the path may
+//! have become shorter, and a stale high estimate would keep the data centre from ever being tried
+//! again.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -15,41 +17,43 @@
 use super::topology::Reach;
 use crate::ids::DataCentre;
 
-/// Milliseconds to a data centre of the region and back, before anything was learned: a few kilometres
-/// of fibre and some switches.
-const REGIONAL_TIME: f64 = 3.0;
+/// The assumed round-trip time to another data centre of the region, in milliseconds, until one is
+/// measured: a few kilometres of fibre and some switches.
+const DEFAULT_REGIONAL_RTT_MS: f64 = 3.0;
 
-/// Milliseconds to another region and back, before anything was learned: about 1,500 km apart. Rather
-/// too far than too near: a request that stays costs little, and a spill still happens where places lack.
-const REMOTE_TIME: f64 = 30.0;
+/// The assumed round-trip time to another region, in milliseconds, until one is measured: about
+/// 1,500 km. It is rather too high than too low: keeping a request in the region costs little, and
+/// requests still leave it when it has no free slots.
+const DEFAULT_REMOTE_RTT_MS: f64 = 30.0;
 
-/// Connects kept of each data centre.
-const KEPT: usize = 64;
+/// How many connect times are kept for each data centre.
+const MAX_SAMPLES: usize = 64;
 
-/// Connects before they count: one alone may have met a busy moment.
-const LEAST: usize = 4;
+/// How many connect times an estimate needs. A single one may have been taken at a busy moment.
+const MIN_SAMPLES: usize = 4;
 
-/// The part of the connects that took less than what is taken for the way: a box or a server that is
-/// busy delays most of them at times, never all.
-const LOW_PART: f64 = 0.2;
+/// The quantile of the connect times that estimates the round-trip time. A busy box or server
+/// delays most connects at times, but never all.
+const RTT_QUANTILE: f64 = 0.2;
 
-/// How long a connect counts. Ways change when links fail or return, which operators see within minutes.
-const STALE_TIME: Duration = Duration::from_secs(300);
+/// How long a connect time counts. Network paths change when links fail or recover, which operators
+/// notice within minutes.
+const SAMPLE_LIFETIME: Duration = Duration::from_secs(300);
 
-/// Bytes of an answer for each token that may come out: four characters, and about as much around them.
-const OUTPUT_BYTES: f64 = 8.0;
+/// Bytes of an answer for each output token: four characters, and about as much framing.
+const BYTES_PER_OUTPUT_TOKEN: f64 = 8.0;
 
-/// What it takes to use a server that does not stand in the box's data centre.
+/// The cost of using a server in another data centre.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Distance {
-    /// Milliseconds there and back.
+    /// The round-trip time in milliseconds.
     pub time: f64,
-    /// What the bytes weigh that go there and back, in milliseconds of wait.
+    /// The cost of the transferred bytes, as an equivalent wait in milliseconds.
     pub weight: f64,
 }
 
-/// What bytes weigh, in milliseconds of wait for each kilobyte. By default nothing: only time counts, and
-/// whoever pays for bytes says so.
+/// The cost of a transferred kilobyte, as an equivalent wait in milliseconds. The default is 0, so
+/// that only time counts unless an operator who pays for traffic sets a weight.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ByteWeights {
     /// Between data centres of a region.
@@ -59,7 +63,7 @@
 }
 
 impl ByteWeights {
-    /// What a kilobyte weighs on a way.
+    /// The cost of a kilobyte sent to a data centre of this reach.
     pub fn of(&self, reach: Reach) -> f64 {
         match reach {
             Reach::Local => 0.0,
@@ -69,96 +73,102 @@
     }
 }
 
-/// Kilobytes of a request and its answer.
+/// The estimated size of a request and its answer in kilobytes. `body` is in bytes, `output` in
+/// tokens.
 pub fn kilobytes(body: usize, output: u64) -> f64 {
-    (body as f64 + output as f64 * OUTPUT_BYTES) / 1_000.0
+    (body as f64 + output as f64 * BYTES_PER_OUTPUT_TOKEN) / 1_000.0
 }
 
-/// The connects to one data centre.
+/// The recent connect times to one data centre, and the estimate from them.
 #[derive(Debug, Default)]
-struct Way {
-    seen: VecDeque<(Instant, f64)>,
-    low: Option<f64>,
+struct ConnectTimes {
+    samples: VecDeque<(Instant, f64)>,
+    rtt_ms: Option<f64>,
 }
 
-impl Way {
-    fn note(&mut self, now: Instant, time: f64) {
-        self.seen.retain(|(at, _)| now.saturating_duration_since(*at) < STALE_TIME);
-        if self.seen.len() == KEPT {
-            self.seen.pop_front();
+impl ConnectTimes {
+    fn record(&mut self, now: Instant, time: f64) {
+        self.samples.retain(|(at, _)| now.saturating_duration_since(*at) < SAMPLE_LIFETIME);
+        if self.samples.len() == MAX_SAMPLES {
+            self.samples.pop_front();
         }
-        self.seen.push_back((now, time));
-        let times = self.seen.iter().map(|(_, time)| *time);
-        self.low = quantile(times, LOW_PART).filter(|_| self.seen.len() >= LEAST);
+        self.samples.push_back((now, time));
+        let times = self.samples.iter().map(|(_, time)| *time);
+        self.rtt_ms = quantile(times, RTT_QUANTILE).filter(|_| self.samples.len() >= MIN_SAMPLES);
     }
 
     fn time(&self, now: Instant) -> Option<f64> {
-        let (at, _) = self.seen.back()?;
-        self.low.filter(|_| now.saturating_duration_since(*at) < STALE_TIME)
+        let (at, _) = self.samples.back()?;
+        self.rtt_ms.filter(|_| now.saturating_duration_since(*at) < SAMPLE_LIFETIME)
     }
 }
 
-/// Learns how far each data centre is.
+/// The estimated round-trip times to the data centres.
 #[derive(Debug, Default)]
 pub struct Distances {
-    ways: BTreeMap<DataCentre, Way>,
+    connect_times: BTreeMap<DataCentre, ConnectTimes>,
 }
 
 impl Distances {
-    /// Takes how long a connect to a data centre took.
-    pub fn note(&mut self, data_centre: &DataCentre, took: Duration, now: Instant) {
+    /// Records the time that a connect to a data centre took.
+    pub fn record_connect(&mut self, data_centre: &DataCentre, took: Duration, now: Instant) {
         let time = took.as_secs_f64() * 1_000.0;
-        match self.ways.get_mut(data_centre) {
-            Some(way) => way.note(now, time),
-            None => self.ways.entry(data_centre.clone()).or_default().note(now, time),
+        match self.connect_times.get_mut(data_centre) {
+            Some(samples) => samples.record(now, time),
+            None => self.connect_times.entry(data_centre.clone()).or_default().record(now, time),
         }
     }
 
-    /// Milliseconds to a data centre and back, as far as was learned lately.
+    /// The measured round-trip time to a data centre in milliseconds, if there is a current
+    /// estimate.
     pub fn learned(&self, data_centre: &DataCentre, now: Instant) -> Option<f64> {
-        self.ways.get(data_centre)?.time(now)
+        self.connect_times.get(data_centre)?.time(now)
     }
 
-    /// Milliseconds to a data centre and back.
+    /// The round-trip time to a data centre in milliseconds, measured or assumed.
     pub fn time(&self, data_centre: &DataCentre, reach: Reach, now: Instant) -> f64 {
         let unlearned = match reach {
             Reach::Local => return 0.0,
-            Reach::Regional => REGIONAL_TIME,
-            Reach::Remote => REMOTE_TIME,
+            Reach::Regional => DEFAULT_REGIONAL_RTT_MS,
+            Reach::Remote => DEFAULT_REMOTE_RTT_MS,
         };
         self.learned(data_centre, now).unwrap_or(unlearned)
     }
 
-    /// All that was learned lately.
-    pub fn all(&self, now: Instant) -> BTreeMap<DataCentre, f64> {
-        let learned = self.ways.iter().filter_map(|(name, way)| Some((name, way.time(now)?)));
+    /// All current estimates, in milliseconds.
+    pub fn learned_rtts(&self, now: Instant) -> BTreeMap<DataCentre, f64> {
+        let learned = self
+            .connect_times
+            .iter()
+            .filter_map(|(name, samples)| Some((name, samples.time(now)?)));
         learned.map(|(name, time)| (name.clone(), time)).collect()
     }
 }
 
-/// What the copy of a prompt's memory between engines takes.
+/// The speed and size of KV cache copies between engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Copying {
-    /// Tokens a second; 0 where engines don't copy.
+pub struct KvCopy {
+    /// Tokens per second; 0 if engines cannot copy.
     pub rate: f64,
-    /// Bytes of a token's memory.
+    /// Size of a token's KV cache in bytes.
     pub token_bytes: f64,
 }
 
-/// Whether copying a part of a prompt from another region saves more than it costs: the time to read it
-/// against the way of so many milliseconds, the copy, and what its bytes weigh.
+/// Whether copying part of a prompt's KV cache from another region is cheaper than computing it.
+/// `time` is the round-trip time in milliseconds, to which the copy and the cost of its bytes are
+/// added.
 pub fn fetch_saves(
     model: &EngineModel,
     tokens: u64,
-    copying: &Copying,
+    copy: &KvCopy,
     time: f64,
     weights: &ByteWeights,
 ) -> bool {
-    if copying.rate <= 0.0 {
+    if copy.rate <= 0.0 {
         return false;
     }
     let tokens = tokens as f64;
-    let copy = tokens / copying.rate * 1_000.0;
-    let bytes = tokens * copying.token_bytes / 1_000.0 * weights.remote;
-    time + copy + bytes < model.prefill_time(tokens) * 1_000.0
+    let copy_time = tokens / copy.rate * 1_000.0;
+    let byte_cost = tokens * copy.token_bytes / 1_000.0 * weights.remote;
+    time + copy_time + byte_cost < model.prefill_time(tokens) * 1_000.0
 }
--- a/src/decide/nearest.rs
+++ b/src/decide/nearest.rs
@@ -1,11 +1,12 @@
-//! Which replica a box follows the configuration at: one as near as there is, while it answers. Pure: time
-//! is an argument.
+//! Selects the replica from which a box follows the configuration: the nearest one that answers.
+//! Pure: the current time is an argument.
 //!
-//! Each box asks some replica two or three times a second what is new, so where there are several regions
-//! these calls stay in the box's own. A replica that doesn't answer, or is itself out of touch, is set
-//! aside, each time for longer, and the next nearest asked; nothing of what a replica told is
-//! needed at the next one. How far a replica is a box hears from itself, so those of which nothing is
-//! known are asked before those that are known to be far.
+//! Each box polls a replica two or three times per second, so in a fleet over several regions these
+//! calls should stay within the box's region. A replica that does not answer, or has itself lost
+//! contact with the group, is skipped for a backoff time that grows with each failure, and the next
+//! nearest is asked instead. Polls carry no state from one replica to the next. A box learns how
+//! far a replica is from the replica itself, so unknown replicas are asked before those known to be
+//! far.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -13,49 +14,51 @@
 use super::topology::Reach;
 use crate::ids::BoxId;
 
-/// How long a replica is set aside when it fails first: an election and what follows it are over by then.
-const ASIDE_TIME: Duration = Duration::from_secs(5);
+/// The backoff after the first failure. An election and the recovery after it take less time.
+const BASE_BACKOFF: Duration = Duration::from_secs(5);
 
-/// How often that time doubles: a box looks for a replica that is long gone once in about a minute.
-const DOUBLINGS: u32 = 4;
+/// How many times the backoff doubles. A replica that is gone for good is polled about once a
+/// minute.
+const MAX_DOUBLINGS: u32 = 4;
 
 #[derive(Debug, Clone, Copy)]
-struct Aside {
+struct Backoff {
     until: Instant,
     failures: u32,
 }
 
-/// The replicas as one box has found them.
+/// The replicas' backoffs and the current selection of one box.
 #[derive(Debug)]
-pub struct Nearest {
-    /// Where this box begins among those that are as good, from 0 to 1.
+pub struct ReplicaSelector {
+    /// Where this box starts among equally near replicas, from 0 to 1.
     start: f64,
     current: Option<BoxId>,
-    aside: BTreeMap<BoxId, Aside>,
+    backoffs: BTreeMap<BoxId, Backoff>,
 }
 
-impl Nearest {
-    /// No replica tried yet; `start`, from 0 to 1, spreads boxes over those that are as near.
+impl ReplicaSelector {
+    /// Creates a selector. `start`, from 0 to 1, spreads boxes over equally near replicas.
     pub fn new(start: f64) -> Self {
-        Self { start, current: None, aside: BTreeMap::new() }
+        Self { start, current: None, backoffs: BTreeMap::new() }
     }
 
-    /// The replica to ask; `reach` tells how far one is, where that is known.
+    /// The replica to poll. `reach` returns how far a replica is, if known.
     pub fn choose(
         &mut self,
         replicas: &[BoxId],
         reach: impl Fn(&BoxId) -> Option<Reach>,
         now: Instant,
     ) -> Option<BoxId> {
-        self.aside.retain(|box_id, _| replicas.contains(box_id));
+        self.backoffs.retain(|box_id, _| replicas.contains(box_id));
         let first = (self.start * replicas.len() as f64) as usize;
         let rank = |place: &usize| {
             let box_id = &replicas[*place];
-            let aside = self.aside.get(box_id).map(|it| it.until).filter(|until| *until > now);
+            let retry_at =
+                self.backoffs.get(box_id).map(|it| it.until).filter(|until| *until > now);
             let other = self.current.as_ref() != Some(box_id);
             (
-                aside,
-                distance(reach(box_id)),
+                retry_at,
+                distance_rank(reach(box_id)),
                 other,
                 (place + replicas.len() - first) % replicas.len(),
             )
@@ -65,21 +68,21 @@
         self.current.clone()
     }
 
-    /// Notes that a replica told something fresh.
-    pub fn answered(&mut self, box_id: &BoxId) {
-        self.aside.remove(box_id);
+    /// Records that a replica returned current data, which clears its backoff.
+    pub fn record_success(&mut self, box_id: &BoxId) {
+        self.backoffs.remove(box_id);
     }
 
-    /// Notes that one didn't.
-    pub fn failed(&mut self, box_id: &BoxId, now: Instant) {
-        let failures = self.aside.get(box_id).map_or(0, |it| it.failures);
-        let time = ASIDE_TIME * 2_u32.pow(failures.min(DOUBLINGS));
-        let aside = Aside { until: now + time, failures: failures + 1 };
-        self.aside.insert(box_id.clone(), aside);
+    /// Records that a replica failed to, which starts or doubles its backoff.
+    pub fn record_failure(&mut self, box_id: &BoxId, now: Instant) {
+        let failures = self.backoffs.get(box_id).map_or(0, |it| it.failures);
+        let duration = BASE_BACKOFF * 2_u32.pow(failures.min(MAX_DOUBLINGS));
+        let backoff = Backoff { until: now + duration, failures: failures + 1 };
+        self.backoffs.insert(box_id.clone(), backoff);
     }
 }
 
-fn distance(reach: Option<Reach>) -> u32 {
+fn distance_rank(reach: Option<Reach>) -> u32 {
     match reach {
         Some(Reach::Local) => 0,
         Some(Reach::Regional) => 1,
--- a/src/decide/subset.rs
+++ b/src/decide/subset.rs
@@ -1,26 +1,30 @@
-//! Which backend servers a box knows: of a small service all, of a large one a few hundred.
+//! Selects the backend servers that a box knows: all of a small service, a few hundred of a large
+//! one.
 //!
-//! What a box hears of the list, keeps and compares does not grow with the fleet this way, nor does what
-//! the leader says to all of them with boxes times servers. The list lies in parts (see
-//! [`crate::relay::list`]); a box takes those whose affinity to it is the largest, so a part that comes
-//! or goes concerns the boxes that take it and changes nothing of what the others have.
+//! This bounds what a box receives, stores and compares independently of the fleet's size, and
+//! keeps the leader's messages from growing with boxes times servers. The list is divided into
+//! parts (see [`crate::relay::list`]). A box takes the parts with the highest affinity to it, so a
+//! part that appears or disappears affects only the boxes that take it.
 //!
-//! Over several regions a box takes mostly what stands near it: that is where its requests go.
+//! In a fleet over several regions a box takes mostly nearby servers, since most of its requests go
+//! there.
 
 use super::choose::affinity;
 use super::topology::Reach;
 
-/// Servers of a service that a box knows, at least, where there are so many. With 300 boxes before 3,000
-/// engines each engine is known by 25 boxes. A box's start takes 27 KB for one such service: 22 ms of a link
-/// of 10 Mbit/s (`tests/server_list.rs`).
-pub const SUBSET: usize = 256;
+/// The minimum number of servers of a service that a box knows, if the service has that many. With
+/// 300 boxes and 3,000 engines each engine is known to 25 boxes. A starting box fetches 27 KB for
+/// such a service, which take 22 ms on a 10 Mbit/s link (`tests/server_list.rs`).
+pub const SUBSET_SIZE: usize = 256;
 
-/// Servers in a part above which it is split in two, and below which two become one: a change of one
-/// server is told with those that stand beside it, so parts are small; and a box's index names each part,
-/// so they are not smaller. In between nothing moves when a few come or go.
+/// The part size in servers above which a part is split in two, and below which two are merged.
+/// Parts are small because a change of one server resends its whole part; they are not smaller
+/// because a box's index lists every part. The gap between both bounds keeps parts stable when a
+/// few servers come or go.
 const PART_SIZE: (usize, usize) = (24, 6);
 
-/// How many bits of their hashes tell the parts of `count` servers apart, where it was `bits` before.
+/// The prefix length in bits that divides `count` servers into parts. `bits` is the previous
+/// length.
 pub fn part_bits(count: usize, bits: u32) -> u32 {
     let mut bits = bits;
     while count > PART_SIZE.0 << bits {
@@ -32,44 +36,46 @@
     bits
 }
 
-/// The part in which a hash lies, told apart by `bits` bits.
-pub fn part_place(hash: u64, bits: u32) -> u64 {
+/// The prefix of `hash` with the given length in bits.
+pub fn part_prefix(hash: u64, bits: u32) -> u64 {
     hash.checked_shr(u64::BITS - bits).unwrap_or(0)
 }
 
-/// The part of the servers known that is to be of each reach, over several regions. Half are of the box's
-/// own data centre; a quarter still is 64 servers, among which a spill finds its two.
-const REACH_PARTS: [f64; Reach::ALL.len()] = [0.5, 0.25, 0.25];
+/// The fraction of a box's servers at each reach, in a fleet over several regions. Half are in the
+/// box's own data centre. A quarter is 64 servers, enough for the two candidates that a spilled
+/// request compares.
+const REACH_FRACTIONS: [f64; Reach::ALL.len()] = [0.5, 0.25, 0.25];
 
-/// How many servers of each reach a box is to know, of those there are.
-pub fn shares(there: [usize; Reach::ALL.len()]) -> [usize; Reach::ALL.len()] {
-    let mut shares = there;
-    for (place, part) in REACH_PARTS.into_iter().enumerate() {
-        shares[place] = there[place].min((SUBSET as f64 * part) as usize);
+/// How many servers of each reach a box takes, given how many exist.
+pub fn servers_per_reach(there: [usize; Reach::ALL.len()]) -> [usize; Reach::ALL.len()] {
+    let mut servers_per_reach = there;
+    for (reach, fraction) in REACH_FRACTIONS.into_iter().enumerate() {
+        servers_per_reach[reach] = there[reach].min((SUBSET_SIZE as f64 * fraction) as usize);
     }
-    // What a reach lacks the others have, the nearest first.
-    let mut left = SUBSET - shares.iter().sum::<usize>();
-    for place in 0..shares.len() {
-        let more = left.min(there[place] - shares[place]);
-        shares[place] += more;
+    // Unused capacity of one reach goes to the others, the nearest first.
+    let mut left = SUBSET_SIZE - servers_per_reach.iter().sum::<usize>();
+    for reach in 0..servers_per_reach.len() {
+        let more = left.min(there[reach] - servers_per_reach[reach]);
+        servers_per_reach[reach] += more;
         left -= more;
     }
-    shares
+    servers_per_reach
 }
 
-/// How many of `parts` parts in a data centre a box takes, where it is to know `wanted` of the `there`
-/// servers that are as far.
-pub fn parts_taken(parts: usize, wanted: usize, there: usize) -> usize {
+/// How many of a data centre's `parts` parts a box takes, so that it knows `wanted` of the `there`
+/// servers at that reach.
+pub fn parts_to_take(parts: usize, wanted: usize, there: usize) -> usize {
     (parts * wanted).div_ceil(there.max(1)).min(parts)
 }
 
-/// The places of the parts that a box takes, `count` of those with these hashes.
-pub fn chosen(box_hash: u64, parts: &[u64], count: usize) -> Vec<usize> {
-    let mut places: Vec<_> = (0..parts.len()).collect();
+/// The indices of the `count` parts with the highest affinity to a box. `parts` are the hashes of
+/// the part ids.
+pub fn select_parts(box_hash: u64, parts: &[u64], count: usize) -> Vec<usize> {
+    let mut indices: Vec<_> = (0..parts.len()).collect();
     if count < parts.len() {
-        places.sort_unstable_by_key(|place| std::cmp::Reverse(affinity(parts[*place], box_hash)));
-        places.truncate(count);
-        places.sort_unstable();
+        indices.sort_unstable_by_key(|index| std::cmp::Reverse(affinity(parts[*index], box_hash)));
+        indices.truncate(count);
+        indices.sort_unstable();
     }
-    places
+    indices
 }
--- a/src/decide/topology.rs
+++ b/src/decide/topology.rs
@@ -1,7 +1,7 @@
-//! Which data centres make up which region, and how far they are from the one this box stands in.
+//! The regions of a fleet and how far each data centre is from the local one.
 //!
-//! The settings say which data centre belongs to which region. A fleet whose settings name no regions
-//! lies in one.
+//! The settings assign data centres to regions. A fleet whose settings name no regions is a single
+//! region.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -20,7 +20,7 @@
 }
 
 impl Reach {
-    /// Every reach, the nearest first.
+    /// All values, the nearest first.
     pub const ALL: [Self; 3] = [Self::Local, Self::Regional, Self::Remote];
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// The regions of a fleet, seen from one data centre.
+/// The regions of a fleet as seen from one data centre.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Topology {
     own: DataCentre,
@@ -42,8 +42,8 @@
 }
 
 impl Topology {
-    /// The regions as they are seen from the data centre `own`. With none given, all data centres lie in
-    /// one region.
+    /// Creates the topology for a box in `own`. If `regions` is empty, all data centres are in one
+    /// region.
     pub fn new(own: DataCentre, regions: BTreeMap<DataCentre, Region>) -> Self {
         Self { own, regions }
     }
@@ -53,7 +53,7 @@
         &self.own
     }
 
-    /// The region of a data centre; `None` where the settings don't name it.
+    /// The region of a data centre; `None` if the settings do not name it.
     pub fn region(&self, data_centre: &DataCentre) -> Option<&Region> {
         self.regions.get(data_centre)
     }
@@ -63,15 +63,15 @@
         self.region(&self.own)
     }
 
-    /// Whether there is more than one region.
-    pub fn is_split(&self) -> bool {
+    /// Whether the settings name more than one region.
+    pub fn has_multiple_regions(&self) -> bool {
         let mut regions = self.regions.values();
         let first = regions.next();
         regions.any(|region| Some(region) != first)
     }
 
-    /// How far a data centre is from this box. One that the settings don't name is taken to be in this
-    /// box's region: it may be new, and must not be left without work for that.
+    /// How far a data centre is from this box. A data centre that the settings do not name counts
+    /// as part of this box's region: it may be new, and should receive requests nonetheless.
     pub fn reach(&self, data_centre: &DataCentre) -> Reach {
         if *data_centre == self.own {
             return Reach::Local;
@@ -82,17 +82,18 @@
         }
     }
 
-    /// The regions, in the order of their names.
+    /// The regions, ordered by name.
     pub fn regions(&self) -> Vec<&Region> {
         self.by_region().into_keys().collect()
     }
 
-    /// The region in which a data centre is taken to lie: this box's where the settings don't name it.
+    /// The region of a data centre. Defaults to this box's region if the settings do not name the
+    /// data centre.
     pub fn region_or_own(&self, data_centre: &DataCentre) -> Option<&Region> {
         self.region(data_centre).or_else(|| self.own_region())
     }
 
-    /// The data centres named, by region.
+    /// The data centres of each region, as named in the settings.
     pub fn by_region(&self) -> BTreeMap<&Region, Vec<&DataCentre>> {
         let mut regions: BTreeMap<_, Vec<_>> = BTreeMap::new();
         for (data_centre, region) in &self.regions {
--- a/src/group/directory.rs
+++ b/src/group/directory.rs
@@ -91,7 +91,7 @@
 
     /// How far a replica is, if there are several regions and it has said where it is.
     pub fn reach(&self, box_id: &BoxId) -> Option<Reach> {
-        let split = self.topology.is_split();
+        let split = self.topology.has_multiple_regions();
         split.then(|| Some(self.topology.reach(self.read().sites.get(box_id)?))).flatten()
     }
 
--- a/src/group/follow.rs
+++ b/src/group/follow.rs
@@ -8,7 +8,7 @@
 
 use crate::blackboard::Blackboard;
 use crate::clock;
-use crate::decide::nearest::Nearest;
+use crate::decide::nearest::ReplicaSelector;
 use crate::decide::topology::Reach;
 use crate::group::directory::Directory;
 use crate::ids::BoxId;
@@ -31,7 +31,7 @@
 
 /// Follows the configuration until the task is dropped.
 pub async fn run(board: Arc<Blackboard>, peers: Peers, directory: Arc<Directory>) {
-    let mut nearest = Nearest::new(rand::random());
+    let mut nearest = ReplicaSelector::new(rand::random());
     let mut followed = Followed::default();
     loop {
         let replicas: Vec<_> = directory.all().into_iter().map(|(box_id, _)| box_id).collect();
@@ -43,16 +43,16 @@
         };
         match ask(&board, &peers, &directory, &box_id, addr).await {
             Ok(true) => {
-                nearest.answered(&box_id);
+                nearest.record_success(&box_id);
                 followed.note(&box_id, directory.reach(&box_id));
             }
             Ok(false) => {
-                nearest.failed(&box_id, Instant::now());
+                nearest.record_failure(&box_id, Instant::now());
                 tokio::time::sleep(PAUSE).await;
             }
             Err(error) => {
                 tracing::debug!(event = "configuration_poll_failed", %addr, %error);
-                nearest.failed(&box_id, Instant::now());
+                nearest.record_failure(&box_id, Instant::now());
                 tokio::time::sleep(PAUSE).await;
             }
         }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -258,7 +258,7 @@
             backends: backends.collect(),
             distances: self
                 .relay()
-                .map(|it| it.distances().all(Instant::now()))
+                .map(|it| it.distances().learned_rtts(Instant::now()))
                 .unwrap_or_default(),
             group,
         }
--- a/src/relay/attempt.rs
+++ b/src/relay/attempt.rs
@@ -232,7 +232,7 @@
     relay.traffic.count_send(reach, call.body.len());
     exchange.count_into(relay.traffic.answer_byte_counter(reach));
     if let Some(took) = exchange.connect {
-        relay.distances().note(data_centre, took, Instant::now());
+        relay.distances().record_connect(data_centre, took, Instant::now());
     }
     exchange
 }
--- a/src/relay/attempts.rs
+++ b/src/relay/attempts.rs
@@ -11,7 +11,7 @@
 use super::known::KnownServer;
 use super::pick::Picker;
 use super::quarantine;
-use super::restraint::{self, Restraints};
+use super::restraint::{self, SendRestrictions};
 use super::table::Route;
 use crate::decide::choose::has_room;
 use crate::decide::releases::ReleaseChoice;
@@ -146,7 +146,7 @@
         if self.reached > 0 && !relay.retries().try_withdraw(&self.service) {
             return Err(self.final_failure(relay));
         }
-        let limit = restraint::limit(relay, &known);
+        let limit = restraint::advertised_limit(relay, &known);
         if self.reached > 0 || limit.is_some() || volume::allows_ordinary() {
             tracing::info!(
                 event = "server_chosen", id = call.head.id, backend_server = %known.server.id,
@@ -165,14 +165,14 @@
     /// Records whether the send leaves the region. The beginning and the end of a spillover are
     /// logged.
     fn track_spill(&self, relay: &Relay) {
-        if !relay.context.topology.is_split() {
+        if !relay.context.topology.has_multiple_regions() {
             return;
         }
-        let news = relay.spills().note(&self.service, self.reach, Instant::now());
+        let news = relay.spills().record(&self.service, self.reach, Instant::now());
         if let Some(news) = news {
             let event = if news.begun { "spill_begun" } else { "spill_ended" };
             tracing::info!(
-                event, service = %self.service, part = news.part, requests = news.requests,
+                event, service = %self.service, part = news.fraction, requests = news.requests,
             );
         }
     }
@@ -224,12 +224,12 @@
     /// Retry-After when every available server is rate limited or paused: the time until the first
     /// of them accepts requests again. Another box may send to it earlier.
     fn restraint_wait(&self, relay: &Relay, servers: &[Arc<KnownServer>]) -> Option<Duration> {
-        let restraints = Restraints::now(relay, &self.service);
+        let restraints = SendRestrictions::current(relay, &self.service);
         let mut open = servers.iter().filter(|known| known.is_open());
         if open.any(|known| restraints.allows(known)) {
             return None;
         }
-        let wait = restraint::wait(relay, &self.service)?;
+        let wait = restraint::time_until_available(relay, &self.service)?;
         Some(wait.clamp(REFUSED_RETRY_AFTER.0, REFUSED_RETRY_AFTER.1))
     }
 
@@ -241,7 +241,7 @@
         let topology = &relay.context.topology;
         let region = topology.region_or_own(&source.server.data_centre);
         let servers = relay.servers.for_service(&self.service);
-        let restraints = Restraints::now(relay, &self.service);
+        let restraints = SendRestrictions::current(relay, &self.service);
         let open: Vec<_> = servers
             .iter()
             .filter(|known| {
@@ -262,13 +262,13 @@
                     mean_requests,
                 )
         };
-        let has_near = topology.is_split() && open.iter().any(|known| is_near(known));
+        let has_near = topology.has_multiple_regions() && open.iter().any(|known| is_near(known));
         let in_other_data_centre =
             |known: &KnownServer| known.server.data_centre != source.server.data_centre;
         let eligible = open.into_iter().filter(|known| !has_near || is_near(known));
         let found =
             eligible.min_by_key(|known| (!in_other_data_centre(known), known.estimated_requests()));
-        found.filter(|known| restraint::claim(relay, known)).cloned()
+        found.filter(|known| restraint::claim_slot(relay, known)).cloned()
     }
 
     /// Selects a server of the release that this send goes to. If that is a release under trial and
@@ -302,7 +302,7 @@
         let tried_servers = &self.tried_servers[..];
         let (engine, model) = (relay.engine_spec(service), relay.engines().model(service));
         let pick = |_| {
-            let restraints = &Restraints::now(relay, service);
+            let restraints = &SendRestrictions::current(relay, service);
             let picker = Picker {
                 relay,
                 call,
@@ -315,7 +315,7 @@
                 restraints,
             };
             let picked = picker.pick()?;
-            restraint::claim(relay, &picked.known).then_some(picked)
+            restraint::claim_slot(relay, &picked.known).then_some(picked)
         };
         let picked = (0..MAX_CLAIM_ATTEMPTS).find_map(pick)?;
         self.prefix_source = picked.prefix_source;
--- a/src/relay/engines.rs
+++ b/src/relay/engines.rs
@@ -1,4 +1,5 @@
-//! What this box has learned of the engines of each service, and what all boxes together have.
+//! The performance models of each service's engines: the one that this box has learned, and the one
+//! pooled over all boxes.
 
 use std::collections::BTreeMap;
 
@@ -6,29 +7,30 @@
 use crate::ids::ServiceName;
 use crate::state::notes::Models;
 
-/// Samples of a service that wait to be reported at most: half a kilobyte of a report.
-const SAMPLE_LIMIT: usize = 16;
+/// How many samples of a service wait for the next report. This many take half a kilobyte.
+const MAX_PENDING_SAMPLES: usize = 16;
 
-/// The learners of one box.
+/// The engine models as known to one box.
 #[derive(Debug, Default)]
 pub struct EngineTracker {
     learners: BTreeMap<ServiceName, EngineLearner>,
-    /// What the services without a fit of this box's own have shown since the last report.
+    /// Samples since the last report of services for which this box has not learned a model of its
+    /// own.
     samples: BTreeMap<ServiceName, Vec<Sample>>,
     pooled: Models,
 }
 
 impl EngineTracker {
-    /// Takes an observation of a service's engine.
-    pub fn note(&mut self, service: &ServiceName, seen: Observation) {
+    /// Records an observation of a service's engine.
+    pub fn record_observation(&mut self, service: &ServiceName, seen: Observation) {
         if !self.learners.contains_key(service) {
             self.learners.insert(service.clone(), EngineLearner::default());
         }
-        self.record(service, Sample::First(seen));
+        self.record_sample(service, Sample::First(seen));
     }
 
-    /// Takes a sample of a service of which something was observed before.
-    fn record(&mut self, service: &ServiceName, sample: Sample) {
+    /// Records a sample. Ignored for a service that has no observation yet.
+    fn record_sample(&mut self, service: &ServiceName, sample: Sample) {
         let Some(learner) = self.learners.get_mut(service) else {
             return;
         };
@@ -38,42 +40,42 @@
             return;
         }
         let samples = self.samples.entry(service.clone()).or_default();
-        if samples.len() < SAMPLE_LIMIT {
+        if samples.len() < MAX_PENDING_SAMPLES {
             samples.push(sample);
         }
     }
 
-    /// The samples to report, each once.
+    /// Returns the samples to report and clears them.
     pub fn take_samples(&mut self) -> BTreeMap<ServiceName, Vec<Sample>> {
         std::mem::take(&mut self.samples)
     }
 
-    /// Takes whether a request that a service's engine served came late.
+    /// Records whether a request that an engine served missed its latency target.
     pub fn record_served(&mut self, service: &ServiceName, is_late: bool) {
-        self.record(service, Sample::Served { late: is_late });
+        self.record_sample(service, Sample::Served { late: is_late });
     }
 
-    /// Takes a stream that ended well at an engine of a service.
+    /// Records a stream that an engine completed.
     pub fn record_stream(&mut self, service: &ServiceName, events: u64, output: u64, seconds: f64) {
         let (events, output) = (events as f64, output as f64);
-        self.record(service, Sample::Stream { events, output, seconds });
+        self.record_sample(service, Sample::Stream { events, output, seconds });
     }
 
-    /// What is known of a service's engines: what all boxes have learned, else what this one has.
+    /// The model of a service's engines: the pooled one if it is learned, else this box's own.
     pub fn model(&self, service: &ServiceName) -> EngineModel {
         let pooled = self.pooled.get(service).filter(|model| model.is_learned());
         let own = || self.learners.get(service).map(EngineLearner::model);
         pooled.copied().or_else(own).unwrap_or_default()
     }
 
-    /// What this box has learned.
+    /// The models that this box has learned.
     pub fn learned(&self) -> Models {
         let models = self.learners.iter().map(|(name, learner)| (name.clone(), learner.model()));
         models.filter(|(_, model)| model.is_learned()).collect()
     }
 
-    /// Takes what all boxes together have learned.
-    pub fn take(&mut self, pooled: Models) {
+    /// Replaces the pooled models of the given services.
+    pub fn apply_pooled(&mut self, pooled: Models) {
         self.pooled.extend(pooled);
     }
 }
--- a/src/relay/events.rs
+++ b/src/relay/events.rs
@@ -1,37 +1,39 @@
-//! Cuts a stream of server-sent events at the ends of events, and reads their ids.
+//! Splits a stream of server-sent events into events and reads their ids.
 //!
-//! Only whole events go to a caller, so a stream that breaks can be taken up behind the last one.
+//! A caller receives only complete events, so that a broken stream can be resumed after the last
+//! one.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes of one event at most.
-const EVENT_LIMIT: usize = 4 << 20;
+/// The largest event accepted, in bytes.
+const MAX_EVENT_BYTES: usize = 4 << 20;
 
-/// An event larger than the limit.
+/// The error for an event larger than [`MAX_EVENT_BYTES`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the stream holds an event larger than {EVENT_LIMIT} bytes")]
+#[error("the stream contains an event larger than {MAX_EVENT_BYTES} bytes")]
 pub(crate) struct EventTooLarge;
 
-/// Cuts bytes into whole events, wherever the pieces are cut.
+/// Splits a byte stream into events, regardless of how the bytes are divided into pieces.
 #[derive(Debug, Default)]
-pub(crate) struct EventCutter {
+pub(crate) struct EventSplitter {
     held: BytesMut,
     searched: usize,
 }
 
-impl EventCutter {
-    /// Adds bytes as they arrive.
+impl EventSplitter {
+    /// Appends bytes as they arrive.
     pub(crate) fn push(&mut self, piece: &Bytes) {
         self.held.extend_from_slice(piece);
     }
 
-    /// The next whole event, with the empty line that ends it.
+    /// The next complete event, including the blank line that ends it.
     ///
     /// # Errors
-    /// When an event is too large; the stream cannot be read on then.
+    ///
+    /// [`EventTooLarge`] if an event exceeds the limit; the rest of the stream cannot be read.
     pub(crate) fn next_event(&mut self) -> Result<Option<Bytes>, EventTooLarge> {
         let Some(end) = self.find_end() else {
-            return match self.held.len() > EVENT_LIMIT {
+            return match self.held.len() > MAX_EVENT_BYTES {
                 true => Err(EventTooLarge),
                 false => Ok(None),
             };
@@ -40,12 +42,12 @@
         Ok(Some(self.held.split_to(end).freeze()))
     }
 
-    /// Whether bytes of an event that has not ended are held.
-    pub(crate) fn is_inside(&self) -> bool {
+    /// Whether part of an incomplete event is buffered.
+    pub(crate) fn has_partial_event(&self) -> bool {
         !self.held.is_empty()
     }
 
-    /// Where the first event ends, behind its empty line.
+    /// The offset after the blank line that ends the first event.
     fn find_end(&mut self) -> Option<usize> {
         let from = self.searched.saturating_sub(3);
         let held = &self.held;
@@ -65,7 +67,7 @@
     }
 }
 
-/// The number in an event's `id` field.
+/// Parses the number in an event's `id` field.
 pub(crate) fn event_id(event: &[u8]) -> Option<u64> {
     let line = event.split(|byte| *byte == b'\n').find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(line).ok()?.trim().parse().ok()
--- a/src/relay/keeping.rs
+++ b/src/relay/keeping.rs
@@ -1,5 +1,5 @@
-//! What the box keeps for a request, charged to its memory: its head and its place, and its body as it
-//! arrives.
+//! The memory that the box reserves for a request: for its head, for its processing, and for its
+//! body as the bytes arrive.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -20,36 +20,39 @@
 use crate::http::head;
 use crate::http::server::READ_BYTES;
 
-/// What a request at a backend server takes beside its caller's connection: 32 kB for its tasks and the
-/// connection there, as measured, and a piece of its answer that waits for room.
-const REQUEST_BYTES: u64 = 48 << 10;
+/// Memory for a request at a backend server, besides its caller's connection: 32 kB, measured, for
+/// its tasks and the connection to the server, and the rest for a piece of the answer that waits to
+/// be written.
+const RESERVED_BYTES_PER_REQUEST: u64 = 48 << 10;
 
-/// How often a head is kept: as it came, and as it goes on.
+/// How many copies of a head are kept: the one received and the one forwarded.
 const HEAD_COPIES: u64 = 2;
 
-/// When to come back to a box without room: about the time in which a large body has come and gone.
-const ROOM_WAIT: Duration = Duration::from_millis(500);
+/// When a caller refused for lack of memory should retry: about the time a large body takes to pass
+/// through.
+const NO_MEMORY_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// The least that a body of unknown length has room for, in bytes.
-const FIRST_PART: usize = 16 << 10;
+/// The buffer first reserved for a body of unknown length, in bytes.
+const INITIAL_BODY_CAPACITY: usize = 16 << 10;
 
-/// Of the time for a body, one part in so many passes between two looks at what has come.
-const LOOKS: u32 = 8;
+/// How many times the progress of a body is checked within its time limit.
+const PROGRESS_CHECKS: u32 = 8;
 
-/// What is kept for a request from its head to the end of its answer.
-pub struct Kept {
+/// The memory reserved for a request from its head until the end of its answer.
+pub struct RequestReservation {
     link: Option<Arc<Link>>,
     _guard: RequestGuard,
     _head: MemoryReservation,
     _place: MemoryReservation,
 }
 
-impl Kept {
-    /// Keeps a request whose body has not been read.
+impl RequestReservation {
+    /// Reserves memory for a request whose body has not been read.
     ///
     /// # Errors
-    /// [`Kind::NoMemory`].
-    pub(super) fn take(
+    ///
+    /// [`Kind::NoMemory`] if the box is out of memory.
+    pub(super) fn reserve(
         memory: &MemoryBudget,
         request: &Request<()>,
         claim: &MemoryClaim,
@@ -58,31 +61,33 @@
         let link = request.extensions().get::<Arc<Busy>>().map(|busy| busy.link().clone());
         let head = head::size(request) as u64 * HEAD_COPIES;
         let head = memory.reserve(Purpose::Heads, head, claim.clone());
-        let place = memory.reserve(Purpose::Requests, REQUEST_BYTES, claim.clone());
-        let (_head, _place) = (head.map_err(refused)?, place.map_err(refused)?);
+        let place = memory.reserve(Purpose::Requests, RESERVED_BYTES_PER_REQUEST, claim.clone());
+        let (_head, _place) = (head.map_err(no_memory)?, place.map_err(no_memory)?);
         Ok(Self { link, _guard: guard, _head, _place })
     }
 
     /// Closes the caller's connection at once.
-    pub(super) fn cut(&self) {
+    pub(super) fn close_connection(&self) {
         if let Some(link) = &self.link {
             link.cut();
         }
     }
 }
 
-/// What a request is told for which there is no room: nothing of it was passed on.
-fn refused(room: MemoryLimitExceeded) -> Failure {
+/// The failure for a request that the box has no memory for. Nothing of it was forwarded.
+fn no_memory(room: MemoryLimitExceeded) -> Failure {
     Failure::new(Kind::NoMemory, format!("the box has no room for it: {room}"))
-        .after(Some(ROOM_WAIT))
+        .after(Some(NO_MEMORY_RETRY_DELAY))
 }
 
-/// Reads a body until `until`; takes it out of `body` once it is whole. Its length is reserved before
-/// any of it is read, and where it has none, room is as it comes.
+/// Reads a body until the deadline `until`, and sets `body` to `None` once it is complete. The
+/// length of the body is reserved before any of it is read; if the length is unknown, memory is
+/// reserved as bytes arrive.
 ///
 /// # Errors
-/// [`Kind::NoMemory`], [`Kind::TooLarge`], [`Kind::SlowCaller`] or [`Kind::BadRequest`]; what is left
-/// unread stays in `body`.
+///
+/// [`Kind::NoMemory`], [`Kind::TooLarge`], [`Kind::SlowCaller`] or [`Kind::BadRequest`]. The unread
+/// rest stays in `body`.
 pub(super) async fn read_body(
     memory: &MemoryBudget,
     body: &mut Option<Incoming>,
@@ -98,12 +103,12 @@
     if length.is_some_and(|length| length > limit as u64) {
         return Err(too_large(limit));
     }
-    let room = length.unwrap_or(FIRST_PART as u64);
-    let reserved = memory.reserve(Purpose::Bodies, room, claim.clone()).map_err(refused)?;
+    let room = length.unwrap_or(INITIAL_BODY_CAPACITY as u64);
+    let reserved = memory.reserve(Purpose::Bodies, room, claim.clone()).map_err(no_memory)?;
     let buffers = READ_BYTES.min(length.unwrap_or(READ_BYTES));
-    let _buffers = memory.reserve(Purpose::Bodies, buffers, claim).map_err(refused)?;
-    let read = Reading { held: BytesMut::with_capacity(room as usize), reserved, limit };
-    let (held, reserved) = read.whole(incoming, length, until).await?;
+    let _buffers = memory.reserve(Purpose::Bodies, buffers, claim).map_err(no_memory)?;
+    let read = BodyReader { held: BytesMut::with_capacity(room as usize), reserved, limit };
+    let (held, reserved) = read.read_to_end(incoming, length, until).await?;
     *body = None;
     Ok(guarded(held, reserved))
 }
@@ -112,14 +117,14 @@
     Failure::new(Kind::TooLarge, format!("the body is larger than {limit} bytes"))
 }
 
-struct Reading {
+struct BodyReader {
     held: BytesMut,
     reserved: MemoryReservation,
     limit: usize,
 }
 
-impl Reading {
-    async fn whole(
+impl BodyReader {
+    async fn read_to_end(
         mut self,
         body: &mut Incoming,
         length: Option<u64>,
@@ -127,15 +132,15 @@
     ) -> Result<(Bytes, MemoryReservation), Failure> {
         let began = Instant::now();
         let time = until.saturating_duration_since(began);
-        let mut look = began + time / LOOKS;
+        let mut next_check = began + time / PROGRESS_CHECKS;
         loop {
-            let frame = tokio::time::timeout_at(look.into(), body.frame()).await;
+            let frame = tokio::time::timeout_at(next_check.into(), body.frame()).await;
             match frame {
                 Err(_) => {}
                 Ok(None) => return Ok((self.held.freeze(), self.reserved)),
                 Ok(Some(Ok(frame))) => {
                     if let Ok(piece) = frame.into_data() {
-                        self.add(&piece)?;
+                        self.append(&piece)?;
                     }
                 }
                 Ok(Some(Err(error))) => {
@@ -143,7 +148,7 @@
                     return Err(Failure::new(Kind::BadRequest, text));
                 }
             }
-            if Instant::now() >= look {
+            if Instant::now() >= next_check {
                 let (came, passed) = (self.held.len() as u64, began.elapsed());
                 let length = length.unwrap_or_default();
                 if !can_arrive(&BodyProgress {
@@ -156,12 +161,12 @@
                     let text = format!("the body {what} arrive in time: {came} bytes came");
                     return Err(Failure::new(Kind::SlowCaller, text));
                 }
-                look = (Instant::now() + time / LOOKS).min(until);
+                next_check = (Instant::now() + time / PROGRESS_CHECKS).min(until);
             }
         }
     }
 
-    fn add(&mut self, piece: &Bytes) -> Result<(), Failure> {
+    fn append(&mut self, piece: &Bytes) -> Result<(), Failure> {
         let length = self.held.len() + piece.len();
         if length > self.limit {
             return Err(too_large(self.limit));
@@ -169,7 +174,7 @@
         let room = self.reserved.bytes() as usize;
         if length > room {
             let more = length.max(room * 2).min(self.limit) - room;
-            self.reserved.grow(more as u64).map_err(refused)?;
+            self.reserved.grow(more as u64).map_err(no_memory)?;
             self.held.reserve(room + more - self.held.len());
         }
         self.held.extend_from_slice(piece);
--- a/src/relay/list_registry.rs
+++ b/src/relay/list_registry.rs
@@ -12,7 +12,9 @@
 };
 use super::listing::{Listing, UnreadableEntry};
 use crate::decide::lives::{IncarnationSource, IncarnationUpdate, ServerIncarnation, Timestamp};
-use crate::decide::subset::{SUBSET, chosen, part_bits, part_place, parts_taken, shares};
+use crate::decide::subset::{
+    SUBSET_SIZE, part_bits, part_prefix, parts_to_take, select_parts, servers_per_reach,
+};
 use crate::decide::topology::{Reach, Topology};
 use crate::ids::{BackendId, BoxId, DataCentre, Region, Release, ServerKey, ServiceName, Term};
 use crate::member::table::fingerprint;
@@ -297,7 +299,7 @@
 
     fn select_parts(&self, box_id: &BoxId, own: Option<&DataCentre>) -> Vec<(PartId, ContentHash)> {
         let topology = own.map(|own| Topology::new(own.clone(), self.regions.clone()));
-        let topology = topology.filter(Topology::is_split);
+        let topology = topology.filter(Topology::has_multiple_regions);
         let near = topology.as_ref().map(|topology| self.count_by_reach(topology));
         let hash = fingerprint(box_id.as_str());
         let all: Vec<_> = self.parts.iter().collect();
@@ -311,12 +313,12 @@
                 (Some(topology), Some(near)) => {
                     let reach = topology.reach(data_centre) as usize;
                     let there = near.get(service).copied().unwrap_or_default();
-                    (shares(there)[reach], there[reach])
+                    (servers_per_reach(there)[reach], there[reach])
                 }
-                _ => (SUBSET, self.counts.get(service).copied().unwrap_or(0)),
+                _ => (SUBSET_SIZE, self.counts.get(service).copied().unwrap_or(0)),
             };
             let hashes: Vec<_> = group.iter().map(|(_, part)| part.id_hash).collect();
-            let indices = chosen(hash, &hashes, parts_taken(group.len(), wanted, there));
+            let indices = select_parts(hash, &hashes, parts_to_take(group.len(), wanted, there));
             taken.extend(
                 indices
                     .into_iter()
@@ -388,7 +390,7 @@
 ) -> Vec<(PartId, Part)> {
     let mut by_prefix: BTreeMap<u64, Vec<ListedServer>> = BTreeMap::new();
     for listed in servers {
-        let prefix = part_place(fingerprint(listed.server.id.as_str()), prefix_bits);
+        let prefix = part_prefix(fingerprint(listed.server.id.as_str()), prefix_bits);
         by_prefix.entry(prefix).or_default().push(listed);
     }
     let parts = by_prefix.into_iter().map(|(prefix, mut servers)| {
--- a/src/relay/listen.rs
+++ b/src/relay/listen.rs
@@ -1,4 +1,4 @@
-//! Where callers and the platform's balancer reach a relay.
+//! The listeners for callers and for the platform's load balancer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,35 +20,37 @@
 use crate::http::server::{self, Limits};
 use crate::settings::RelaySettings;
 
-/// Descriptors that the process needs for others than callers: its own files, listeners, links to the
-/// group, readers of metrics, the balancer, and callers who are just refused.
-const OWN_DESCRIPTORS: u32 = 400;
+/// File descriptors that the process needs besides callers' connections: its files and listeners,
+/// connections to the group, metrics scrapes, the load balancer, and callers that are being
+/// refused.
+const RESERVED_DESCRIPTORS: u32 = 400;
 
-/// Descriptors of one caller: its connection, and one to a backend server.
-const CALLER_DESCRIPTORS: u32 = 2;
+/// File descriptors for each caller: its connection and one to a backend server.
+const DESCRIPTORS_PER_CALLER: u32 = 2;
 
-/// Bytes of a head that are read; the operators' limit is checked behind that.
-const HEAD_LIMIT: usize = 64 << 10;
+/// The largest request head that is read, in bytes. The operators' limit is checked afterwards.
+const MAX_HEAD_BYTES: usize = 64 << 10;
 
-/// How long a connection may rest before its next head has arrived: above the operators' limit, so
-/// that it is the caller who closes first.
-const REST_TIME: Duration = Duration::from_secs(25);
+/// How long a connection may be idle before its next head has arrived. Longer than the operators'
+/// limit, so that the caller closes first.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// Time in which a caller takes a piece of its answer.
-const WRITE_TIME: Duration = Duration::from_secs(15);
+/// The longest time a caller may take to accept a piece of its answer.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Connections of the balancer at the same time.
-const BALANCERS: usize = 64;
+/// The maximum number of connections from the load balancer.
+const MAX_BALANCER_CONNECTIONS: usize = 64;
 
-/// What callers' connections are held to. The time for a head is that of the routes in force.
+/// The limits on callers' connections. The time for a head is set later, from the route table in
+/// force.
 pub(super) fn limits(settings: &RelaySettings) -> Limits {
-    let descriptors = settings.descriptors.saturating_sub(OWN_DESCRIPTORS + IDLE_TOTAL as u32);
+    let descriptors = settings.descriptors.saturating_sub(RESERVED_DESCRIPTORS + IDLE_TOTAL as u32);
     Limits {
-        callers: (descriptors / CALLER_DESCRIPTORS) as usize,
-        head: HEAD_LIMIT,
-        head_time: REST_TIME,
-        rest_time: REST_TIME,
-        write_time: WRITE_TIME,
+        callers: (descriptors / DESCRIPTORS_PER_CALLER) as usize,
+        head: MAX_HEAD_BYTES,
+        head_time: IDLE_TIMEOUT,
+        rest_time: IDLE_TIMEOUT,
+        write_time: WRITE_TIMEOUT,
     }
 }
 
@@ -59,10 +61,11 @@
 }
 
 impl Listeners {
-    /// Listens at the addresses of the relay's settings.
+    /// Opens the listeners at the addresses in the settings.
     ///
     /// # Errors
-    /// When an address cannot be listened on.
+    ///
+    /// If an address cannot be bound.
     pub async fn open(relay: &Relay) -> Result<Self> {
         let callers = server::listen(relay.context.settings.listen, "callers").await?;
         let balancer = server::listen(relay.context.settings.ready, "the balancer").await?;
@@ -71,35 +74,43 @@
         Ok(Self { callers, balancer })
     }
 
-    /// Serves both until the process ends.
+    /// Serves both listeners until the process ends.
     pub fn serve(self, relay: &Arc<Relay>) {
         let serving = relay.clone();
         let handler = move |request| serve::handle(serving.clone(), request);
         let closing = relay.context.closing.clone();
         let gate = relay.gate.clone();
-        tokio::spawn(server::run(self.callers, gate, closing, handler, too_many));
+        tokio::spawn(server::run(self.callers, gate, closing, handler, too_many_callers));
         let asked = relay.clone();
-        let readiness = move |_: Request<Incoming>| {
-            let answer = ready(&asked);
+        let answer_readiness = move |_: Request<Incoming>| {
+            let answer = readiness(&asked);
             async move { answer }
         };
-        let limits = Limits { callers: BALANCERS, ..limits(&relay.context.settings) };
-        // The balancer is answered until the process is gone.
+        let limits =
+            Limits { callers: MAX_BALANCER_CONNECTIONS, ..limits(&relay.context.settings) };
+        // The load balancer gets answers until the process exits, so its listener never closes.
         let (open, closing) = watch::channel(false);
         tokio::spawn(async move {
             let _open = open;
-            server::run(self.balancer, Gate::new(limits), closing, readiness, too_many).await;
+            server::run(
+                self.balancer,
+                Gate::new(limits),
+                closing,
+                answer_readiness,
+                too_many_callers,
+            )
+            .await;
         });
     }
 }
 
-fn too_many() -> Response<Body> {
+fn too_many_callers() -> Response<Body> {
     let text = "the box has as many callers as it may";
     answer::failed(&Failure::new(Kind::TooManyCallers, text))
 }
 
-/// Why the balancer should send no callers here, if it should not.
-fn unready(relay: &Relay) -> Option<&'static str> {
+/// Why the load balancer should not send callers to this box; `None` if it should.
+fn unready_reason(relay: &Relay) -> Option<&'static str> {
     if relay.context.board.phase() == Phase::Draining {
         return Some("draining");
     }
@@ -111,8 +122,8 @@
     (!is_sure).then_some("the routes may be out of date")
 }
 
-fn ready(relay: &Relay) -> Response<Body> {
-    let fault = unready(relay);
+fn readiness(relay: &Relay) -> Response<Body> {
+    let fault = unready_reason(relay);
     let status = if fault.is_none() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     answer::json_answer(status, &json!({ "ready": fault.is_none(), "reason": fault }))
 }
--- a/src/relay/pick.rs
+++ b/src/relay/pick.rs
@@ -10,13 +10,13 @@
 use super::by_reach::{LocatedServer, ServersByReach};
 use super::call::{Call, PromptSegment};
 use super::known::KnownServer;
-use super::restraint::Restraints;
+use super::restraint::SendRestrictions;
 use super::table::{EngineSpec, Route};
 use crate::decide::choose::{
     BackendCandidate, affinity, affinity_group, choose, choose_over_regions, compares_all,
     estimate_other_requests_by_region, sample_indices, should_search_farther,
 };
-use crate::decide::distance::{Copying, Distance, fetch_saves, kilobytes};
+use crate::decide::distance::{Distance, KvCopy, fetch_saves, kilobytes};
 use crate::decide::engine::EngineModel;
 use crate::decide::filling::{EngineUsage, have_room};
 use crate::decide::releases::ReleaseChoice;
@@ -53,7 +53,7 @@
     /// Servers that already received the call.
     pub(super) tried_servers: &'a [BackendId],
     /// Rate limits and pauses that servers requested of this box.
-    pub(super) restraints: &'a Restraints,
+    pub(super) restraints: &'a SendRestrictions,
 }
 
 /// The selected server.
@@ -173,12 +173,13 @@
     /// Selects from the compared servers the one that is expected to start the call first.
     fn choose(&self, compared: Comparison, mean_requests: Option<f64>) -> Option<Picked> {
         let (candidates, random) = (&compared.candidates, rand::random::<f64>);
-        let index = match mean_requests.filter(|_| self.relay.context.topology.is_split()) {
-            Some(mean_requests) => {
-                choose_over_regions(&self.model, candidates, mean_requests, random)
-            }
-            None => choose(&self.model, candidates, random),
-        }?;
+        let index =
+            match mean_requests.filter(|_| self.relay.context.topology.has_multiple_regions()) {
+                Some(mean_requests) => {
+                    choose_over_regions(&self.model, candidates, mean_requests, random)
+                }
+                None => choose(&self.model, candidates, random),
+            }?;
         let (chosen, candidate) = (&compared.servers[index], &compared.candidates[index]);
         let shared = self.call.shared_prefix().map_or(0, |prefix| prefix.tokens);
         let prefill_work = PrefillWork {
@@ -319,7 +320,7 @@
         let Some(spec) = &self.engine else {
             return false;
         };
-        let copying = Copying { rate: spec.copy_rate, token_bytes: spec.token_bytes };
+        let copying = KvCopy { rate: spec.copy_rate, token_bytes: spec.token_bytes };
         let weights = &self.relay.context.settings.weights;
         fetch_saves(&self.model, prefix.tokens, &copying, time, weights)
     }
--- a/src/relay/plain.rs
+++ b/src/relay/plain.rs
@@ -192,7 +192,7 @@
             seconds,
             is_clear: known.queued_prompt_tokens() == 0,
         };
-        relay.engines().note(&known.server.service, seen);
+        relay.engines().record_observation(&known.server.service, seen);
         known.state.succeed_route(&route.name);
         let part = seconds / route.objective.as_secs_f64();
         relay.record_outcome(
--- a/src/relay/quarantine.rs
+++ b/src/relay/quarantine.rs
@@ -1,5 +1,5 @@
-//! Refuses requests that end the servers they run on. Which those are is decided in
-//! [`crate::decide::quarantine`].
+//! Refuses requests under which backend servers have ended. The decision which requests these are
+//! is made in [`crate::decide::quarantine`].
 
 use std::time::Instant;
 
@@ -9,13 +9,15 @@
 use crate::decide::quarantine::{QuarantineDelta, QuarantineReport, QuarantineUpdate};
 use crate::error::{Failure, Kind};
 
-/// Whether a call's request is kept from all servers.
+/// Checks that a call's request is not quarantined.
 ///
 /// # Errors
-/// [`Kind::Quarantined`] if it is. It has not run, and it will not: the caller hears that at once, and when it may
-/// run again.
+///
+/// [`Kind::Quarantined`] if it is. The request has not run; the failure says after what time it may
+/// be sent again.
 pub(super) fn check(relay: &Relay, call: &Call) -> Result<(), Failure> {
-    // No hash of a body while nothing is held, and none while other calls wait for the lock.
+    // With an empty quarantine the body is not hashed. The lock is not held during hashing, since
+    // other calls wait for it.
     if relay.quarantine().is_empty() {
         return Ok(());
     }
@@ -30,7 +32,8 @@
     }
 }
 
-/// Notes that a server has answered a call, well or not.
+/// Records that a server answered a call, with success or an error: the request did not end the
+/// server.
 pub(super) fn record_success(relay: &Relay, call: &Call) {
     let request = call.fingerprint();
     if relay.quarantine().record_success(request, Instant::now()) {
@@ -39,31 +42,32 @@
     }
 }
 
-/// Takes that a server ended, and has the leader hear of it at once.
-pub(super) fn record_end(relay: &Relay, told: CrashReport) {
-    let (changes, is_news) = relay.quarantine().record_crash(told, Instant::now());
-    say(&changes);
+/// Records that a server ended, and reports it to the leader at once if it is news.
+pub(super) fn record_end(relay: &Relay, report: CrashReport) {
+    let (changes, is_news) = relay.quarantine().record_crash(report, Instant::now());
+    log_changes(&changes);
     if is_news {
         relay.heartbeat_requested.notify_one();
     }
 }
 
-/// Takes the leader's answer to a word.
-pub(crate) fn take_answer(
+/// Applies the leader's answer to a report of ended servers.
+pub(crate) fn apply_answer(
     relay: &Relay,
-    told: &QuarantineReport,
-    word: Option<QuarantineUpdate>,
+    report: &QuarantineReport,
+    update: Option<QuarantineUpdate>,
     lacks: bool,
 ) {
-    let (changes, is_urgent) = relay.quarantine().apply_reply(told, word, lacks, Instant::now());
-    say(&changes);
+    let (changes, is_urgent) =
+        relay.quarantine().apply_reply(report, update, lacks, Instant::now());
+    log_changes(&changes);
     if is_urgent {
         relay.heartbeat_requested.notify_one();
     }
 }
 
-/// One line for each request that is kept from servers from now on, or no longer.
-fn say(changes: &QuarantineDelta) {
+/// Writes a log line for each request that was added to or removed from the quarantine.
+fn log_changes(changes: &QuarantineDelta) {
     for request in &changes.added {
         tracing::warn!(event = "request_quarantined", %request);
     }
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -13,7 +13,7 @@
 use super::Relay;
 use super::attempt::{retry_limit, seconds_since};
 use super::call::{Call, CallHead};
-use super::keeping::{Kept, read_body};
+use super::keeping::{RequestReservation, read_body};
 use super::plain::{self, strip_hop_by_hop_headers};
 use super::quarantine;
 use super::stream;
@@ -164,7 +164,7 @@
     let urgency = urgency(team, &route);
     let claim = MemoryClaim::Request { team: team.map(|team| team.name.clone()), urgency };
     relay.gate.relieve(IDLE_CLOSED_PER_REQUEST);
-    let kept = Kept::take(&relay.memory, &request, &claim, guard)?;
+    let kept = RequestReservation::reserve(&relay.memory, &request, &claim, guard)?;
     let until = arrived + timeout;
     let read = read_body(&relay.memory, body, table.limits.body, until, claim).await?;
     let call = build_call(team, urgency, head, request, read, arrived, until);
--- a/src/relay/stream.rs
+++ b/src/relay/stream.rs
@@ -14,8 +14,8 @@
 use super::attempt::{SendFailure, StartState, record_fault, restart_fault, seconds_since, send};
 use super::attempts::CallAttempts;
 use super::call::Call;
-use super::events::{EventCutter, event_id};
-use super::keeping::Kept;
+use super::events::{EventSplitter, event_id};
+use super::keeping::RequestReservation;
 use super::known::{InFlightRequest, KnownServer};
 use super::moving::{self, MoveOutcome, move_stream};
 use super::plain::{read_whole, strip_hop_by_hop_headers};
@@ -63,7 +63,7 @@
 /// The server connection that a stream's events currently come from.
 pub(super) struct EventSource {
     exchange: Exchange,
-    cutter: EventCutter,
+    cutter: EventSplitter,
     /// The request in flight to the server.
     pub(super) flight: InFlightRequest,
     /// When the request was sent to the server.
@@ -87,7 +87,7 @@
     call: Arc<Call>,
     route: Arc<Route>,
     service: &ServiceName,
-    kept: Kept,
+    kept: RequestReservation,
 ) -> Result<Response<Body>, Failure> {
     let mut attempts = CallAttempts::new(service.clone());
     let mut failed = None;
@@ -175,7 +175,7 @@
         seconds: seconds_since(opened.source.sent_at),
         is_clear: prefill_work.is_queue_empty,
     };
-    relay.engines().note(attempts.service(), seen);
+    relay.engines().record_observation(attempts.service(), seen);
 }
 
 /// Expected duration of a stream in seconds: prefill of its prompt, plus [`ASSUMED_EVENT_TIME`] for
@@ -216,7 +216,7 @@
         }
         let exchange = reply.exchange;
         let mut source =
-            EventSource { exchange, cutter: EventCutter::default(), flight, sent_at: began };
+            EventSource { exchange, cutter: EventSplitter::default(), flight, sent_at: began };
         let first_event = read_first_event(&mut source, limit).await?;
         source.flight.mark_started();
         let status = source.exchange.status;
@@ -357,7 +357,7 @@
     route: Arc<Route>,
     mut attempts: CallAttempts,
     opened: StartedStream,
-    kept: Kept,
+    kept: RequestReservation,
 ) -> Response<Body> {
     let StartedStream { status, headers, mut source, first_event } = opened;
     let mut progress = StreamProgress::new(call.head.last_event_id);
@@ -489,7 +489,7 @@
             source.cutter.push(&piece);
             progress.take_events(source).map(Some)
         }
-        None if source.cutter.is_inside() => {
+        None if source.cutter.has_partial_event() => {
             Err(SendFault::Broke("the stream ended inside an event".to_owned()))
         }
         None => Ok(None),
--- a/src/relay/table.rs
+++ b/src/relay/table.rs
@@ -1,4 +1,4 @@
-//! The table of routes: what operators publish, checked as a whole.
+//! The route table that operators publish, validated as a whole.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -8,145 +8,146 @@
 use crate::ids::{DataCentre, ServiceName, TeamName, Version};
 use crate::units::Tokens;
 
-/// What may be done with a request after it has been sent once.
+/// How often a request may run, which decides what may be done after it has been sent once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
-    /// It may run more than once.
+    /// The request may run more than once.
     Safe,
-    /// It may run at most once.
+    /// The request must run at most once.
     Once,
-    /// A stream of events that runs at most once.
+    /// An event stream that must run at most once.
     Stream,
-    /// A stream of events that another server may take up behind the last event.
+    /// An event stream that another server can resume after the last event.
     ResumableStream,
 }
 
 impl Repeat {
-    /// Whether the answer is a stream of events.
+    /// Whether the answer is an event stream.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 
-    /// Whether the request may be sent again although it may have run.
+    /// Whether the request may be sent again although it may already have run.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Safe | Self::ResumableStream)
     }
 }
 
-/// A part of a route's traffic.
+/// A share of a route's traffic.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Split {
-    /// The service that gets it.
+pub struct TrafficSplit {
+    /// The service that receives the share.
     pub service: ServiceName,
-    /// Its share, relative to the other splits of the route.
+    /// The weight relative to the route's other splits.
     pub weight: u32,
 }
 
-/// One route.
+/// A route: a host and path prefix, and how requests that match it are handled.
 #[derive(Debug, Clone)]
 pub struct Route {
-    /// Its name.
+    /// The route's name.
     pub name: String,
-    /// The host it is for, in lower case.
+    /// The host it matches, in lower case.
     pub host: String,
-    /// The path it begins with; begins and ends with a slash.
+    /// The path prefix it matches. It begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// How often its requests may run.
     pub repeat: Repeat,
-    /// The longest a request is held.
+    /// The longest time a request is held before it fails.
     pub timeout: Duration,
-    /// Within this time the answer, or the first event, is on time.
+    /// The latency target for the answer, or for the first event of a stream.
     pub objective: Duration,
-    /// The longest pause between events that is on time.
+    /// The longest pause between two events of a stream that meets the target, if there is one.
     pub gap: Option<Duration>,
-    /// Its rank; 0 goes first.
+    /// The priority of its requests; 0 is the highest.
     pub priority: u8,
-    /// Servers that one request may be sent to at most.
+    /// How many servers a request may be sent to at most.
     pub attempts: u32,
-    /// Whether no key is asked for.
+    /// Whether requests are accepted without an API key.
     pub public: bool,
-    /// Where its traffic goes.
-    pub splits: Vec<Split>,
+    /// The services that its traffic goes to.
+    pub splits: Vec<TrafficSplit>,
 }
 
-/// What is known of a service of model engines.
+/// The properties of the engines of a model service.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineSpec {
-    /// Requests that one engine runs at the same time.
+    /// How many requests an engine runs concurrently.
     pub slots: u32,
-    /// Tokens that one engine's memory holds.
+    /// The capacity of an engine's KV cache, in tokens.
     pub memory: Tokens,
-    /// Whether a running request can be moved to another engine with its memory.
+    /// Whether a running request can move to another engine together with its KV cache.
     pub moves: bool,
-    /// Tokens in one event of a stream.
+    /// Tokens in each event of a stream.
     pub event: Tokens,
-    /// Tokens whose memory is copied to another engine in a second.
+    /// How many tokens of KV cache an engine copies to another one per second.
     pub copy_rate: f64,
-    /// Bytes of a token's memory.
+    /// Size of a token's KV cache, in bytes.
     pub token_bytes: f64,
 }
 
-/// How many engines a service may have and what they cost.
+/// How many engines a service may have, and their prices.
 #[derive(Debug, Clone)]
 pub struct Scaling {
-    /// Engines in each data centre at least.
+    /// The minimum number of engines in each data centre.
     pub least: u32,
-    /// Engines in each data centre at most.
+    /// The maximum number of engines in each data centre.
     pub most: u32,
-    /// From order to service.
+    /// Time from the order of an engine until it serves requests.
     pub boot_time: Duration,
-    /// What a reclaimable engine costs, as a share of one on demand; `None`: there are none.
+    /// The price of a spot engine as a fraction of the on-demand price; `None` if there are no spot
+    /// engines.
     pub spot_price: Option<f64>,
-    /// What an engine on demand costs, by data centre.
+    /// The price of an on-demand engine in each data centre.
     pub prices: BTreeMap<DataCentre, f64>,
 }
 
-/// One service.
+/// A service that requests are forwarded to.
 #[derive(Debug, Clone)]
 pub struct Service {
-    /// Its name.
+    /// The service's name.
     pub name: ServiceName,
-    /// Where its servers say whether they are well.
+    /// The path at which its servers answer health checks.
     pub health: String,
-    /// Connections that one server takes from all callers together.
+    /// The maximum number of connections to one server, over all callers.
     pub connections: u32,
-    /// What is known of its engines, where it is a model.
+    /// The properties of its engines, if the service is a model.
     pub engine: Option<EngineSpec>,
-    /// How many engines there may be, where the platform takes orders for it.
+    /// How many engines it may have, if the platform takes orders for it.
     pub scaling: Option<Scaling>,
 }
 
-/// What a team's limit counts.
+/// The unit of a team's rate limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unit {
     /// Requests.
     Requests,
-    /// Tokens; a request that names none counts as so many.
+    /// Tokens. A request that does not state its tokens counts as this many.
     Tokens(u64),
 }
 
-/// One team.
+/// A team and its rate limit.
 #[derive(Debug, Clone)]
 pub struct Team {
-    /// Its name.
+    /// The team's name.
     pub name: TeamName,
-    /// Its rank, which goes before the route's; 0 goes first.
+    /// The team's priority, compared before the route's; 0 is the highest.
     pub priority: u8,
-    /// What its limit counts.
+    /// The unit of the rate limit.
     pub unit: Unit,
-    /// Units a second over all boxes; `None`: no limit.
+    /// Units per second over all boxes; `None` if the team has no rate limit.
     pub rate: Option<f64>,
-    /// Units on top at once.
+    /// Units that may be used at once on top of the rate.
     pub burst: f64,
 }
 
 impl Team {
-    /// The team's limit; `None` where it has none.
+    /// The team's rate limit; `None` if it has none.
     pub fn limit(&self) -> Option<RateLimit> {
         self.rate.map(|rate| RateLimit { rate, burst: self.burst })
     }
 
-    /// What one request counts against the team's limit.
+    /// How many units one request takes of the team's limit.
     pub fn cost(&self, tokens: Option<u64>) -> f64 {
         match self.unit {
             Unit::Requests => 1.0,
@@ -155,110 +156,113 @@
     }
 }
 
-/// What callers are held to.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a head.
+    /// The largest request head, in bytes.
     pub head: usize,
-    /// Bytes of a body.
+    /// The largest request body, in bytes.
     pub body: usize,
-    /// Time for a head to arrive.
+    /// The longest time for a request head to arrive.
     pub head_time: Duration,
-    /// How long a connection may rest.
+    /// The longest time a connection may be idle.
     pub idle_time: Duration,
 }
 
-/// What a table is made of, before it is checked.
+/// The contents of a [`RouteTable`] before validation.
 #[derive(Debug, Clone)]
 pub struct TableParts {
-    /// The operator's version.
+    /// The version chosen by the operator.
     pub version: Version,
-    /// What callers are held to.
+    /// Limits on callers.
     pub limits: CallerLimits,
     /// The routes.
     pub routes: Vec<Route>,
     /// The services.
     pub services: Vec<Service>,
-    /// The teams, each with its keys. Without any, no key is asked for.
+    /// The teams, each with its API keys. If there are none, requests need no key.
     pub teams: Vec<(Team, Vec<String>)>,
 }
 
-/// Why a table is not valid.
+/// Why a route table is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum TableFault {
-    /// A route names a service that is not there.
+pub enum RouteTableError {
+    /// A route refers to a service that is not in the table.
     #[error("route {route} names the unknown service {service}")]
     UnknownService {
-        /// The route.
+        /// The route's name.
         route: String,
-        /// The service.
+        /// The missing service.
         service: ServiceName,
     },
-    /// Two routes have the same host and prefix.
+    /// Two routes have the same host and path prefix.
     #[error("routes {first} and {second} have the same host and prefix")]
-    SamePlace {
-        /// One route.
+    DuplicatePrefix {
+        /// The name of one route.
         first: String,
-        /// The other.
+        /// The name of the other route.
         second: String,
     },
-    /// The weights of a route sum to nothing.
+    /// All weights of the route are 0.
     #[error("the weights of route {0} sum to 0")]
-    NoWeight(String),
-    /// A route's time-out is nothing.
-    #[error("the time-out of route {0} is 0")]
-    NoTimeout(String),
-    /// A route's prefix does not begin and end with a slash.
+    ZeroWeight(String),
+    /// The timeout of the route is 0.
+    #[error("the timeout of route {0} is 0")]
+    ZeroTimeout(String),
+    /// The path prefix of the route does not begin and end with a slash.
     #[error("the prefix of route {0} does not begin and end with a slash")]
-    BadPrefix(String),
-    /// Two teams have the same key.
+    InvalidPrefix(String),
+    /// Two teams have the same API key.
     #[error("teams {first} and {second} share a key")]
     SharedKey {
-        /// One team.
+        /// The name of one team.
         first: TeamName,
-        /// The other.
+        /// The name of the other team.
         second: TeamName,
     },
-    /// A name is used twice.
-    #[error("{0} is named twice")]
-    Twice(String),
+    /// Two services or teams have the same name.
+    #[error("{0} is defined twice")]
+    DuplicateName(String),
 }
 
-/// A checked table.
+/// A validated route table.
 #[derive(Debug)]
 pub struct RouteTable {
-    /// The operator's version.
+    /// The version chosen by the operator.
     pub version: Version,
-    /// What callers are held to.
+    /// Limits on callers.
     pub limits: CallerLimits,
-    /// The services.
+    /// The services by name.
     pub services: BTreeMap<ServiceName, Service>,
-    /// The teams.
+    /// The teams by name.
     pub teams: BTreeMap<TeamName, Team>,
     hosts: HashMap<String, HostRoutes>,
     keys: HashMap<String, TeamName>,
 }
 
-/// The routes of one host, by prefix.
+/// The routes of one host, by path prefix.
 #[derive(Debug, Default)]
 struct HostRoutes {
     routes: HashMap<String, Arc<Route>>,
-    /// Slashes in the prefix that has most: no more of a path need be looked at.
+    /// The largest number of slashes in a prefix. Only that many leading segments of a path are
+    /// looked up.
     depth: usize,
 }
 
 impl HostRoutes {
-    fn add(&mut self, route: Route) -> Result<(), TableFault> {
+    fn add(&mut self, route: Route) -> Result<(), RouteTableError> {
         let (prefix, name) = (route.prefix.clone(), route.name.clone());
         self.depth = self.depth.max(prefix.matches('/').count());
         match self.routes.insert(prefix, Arc::new(route)) {
-            Some(other) => Err(TableFault::SamePlace { first: other.name.clone(), second: name }),
+            Some(other) => {
+                Err(RouteTableError::DuplicatePrefix { first: other.name.clone(), second: name })
+            }
             None => Ok(()),
         }
     }
 
-    /// The route with the longest prefix of a path. It looks at the path's parts, not at the routes: a host
-    /// may have thousands.
+    /// The route with the longest prefix of `path`. It looks up each prefix of the path instead of
+    /// scanning the routes: a host may have thousands.
     fn find(&self, path: &str) -> Option<&Arc<Route>> {
         let slashes = path.match_indices('/').take(self.depth);
         let found = slashes.filter_map(|(place, _)| self.routes.get(&path[..=place]));
@@ -267,76 +271,80 @@
 }
 
 impl RouteTable {
-    /// Checks the parts and makes a table of them.
+    /// Validates the parts and builds the table.
     ///
     /// # Errors
-    /// The first fault found.
-    pub fn new(parts: TableParts) -> Result<Self, TableFault> {
+    ///
+    /// The first [`RouteTableError`] found.
+    pub fn new(parts: TableParts) -> Result<Self, RouteTableError> {
         let mut services = BTreeMap::new();
         for service in parts.services {
             let name = service.name.clone();
             if services.insert(name.clone(), service).is_some() {
-                return Err(TableFault::Twice(format!("service {name}")));
+                return Err(RouteTableError::DuplicateName(format!("service {name}")));
             }
         }
         let mut hosts: HashMap<String, HostRoutes> = HashMap::new();
         for route in parts.routes {
-            check_route(&route, &services)?;
+            validate_route(&route, &services)?;
             hosts.entry(route.host.clone()).or_default().add(route)?;
         }
         let (teams, keys) = index_teams(parts.teams)?;
         Ok(Self { version: parts.version, limits: parts.limits, services, teams, hosts, keys })
     }
 
-    /// How many routes there are.
+    /// The number of routes.
     pub fn len(&self) -> usize {
         self.hosts.values().map(|host| host.routes.len()).sum()
     }
 
-    /// Whether there are none.
+    /// Whether the table has no routes.
     pub fn is_empty(&self) -> bool {
         self.hosts.is_empty()
     }
 
-    /// The route of a request: of its host's routes, the one with the longest prefix.
+    /// The route of a request: of the host's routes, the one with the longest prefix of the path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         self.hosts.get(&host)?.find(path)
     }
 
-    /// The team that holds a key.
+    /// The team that an API key belongs to.
     pub fn team_of(&self, key: &str) -> Option<&Team> {
         self.teams.get(self.keys.get(key)?)
     }
 
-    /// Whether keys are asked for at all.
+    /// Whether requests need an API key.
     pub fn has_teams(&self) -> bool {
         !self.teams.is_empty()
     }
 }
 
-fn check_route(route: &Route, services: &BTreeMap<ServiceName, Service>) -> Result<(), TableFault> {
+fn validate_route(
+    route: &Route,
+    services: &BTreeMap<ServiceName, Service>,
+) -> Result<(), RouteTableError> {
     for split in &route.splits {
         if !services.contains_key(&split.service) {
             let (route, service) = (route.name.clone(), split.service.clone());
-            return Err(TableFault::UnknownService { route, service });
+            return Err(RouteTableError::UnknownService { route, service });
         }
     }
     if route.splits.iter().all(|split| split.weight == 0) {
-        return Err(TableFault::NoWeight(route.name.clone()));
+        return Err(RouteTableError::ZeroWeight(route.name.clone()));
     }
     if route.timeout.is_zero() {
-        return Err(TableFault::NoTimeout(route.name.clone()));
+        return Err(RouteTableError::ZeroTimeout(route.name.clone()));
     }
     if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
-        return Err(TableFault::BadPrefix(route.name.clone()));
+        return Err(RouteTableError::InvalidPrefix(route.name.clone()));
     }
     Ok(())
 }
 
 type Teams = (BTreeMap<TeamName, Team>, HashMap<String, TeamName>);
 
-fn index_teams(all: Vec<(Team, Vec<String>)>) -> Result<Teams, TableFault> {
+fn index_teams(all: Vec<(Team, Vec<String>)>) -> Result<Teams, RouteTableError> {
     let mut teams = BTreeMap::new();
     let mut owners: HashMap<String, TeamName> = HashMap::new();
     for (team, keys) in all {
@@ -344,11 +352,11 @@
         for key in keys {
             let owner = owners.insert(key, name.clone());
             if let Some(first) = owner.filter(|owner| *owner != name) {
-                return Err(TableFault::SharedKey { first, second: name });
+                return Err(RouteTableError::SharedKey { first, second: name });
             }
         }
         if teams.insert(name.clone(), team).is_some() {
-            return Err(TableFault::Twice(format!("team {name}")));
+            return Err(RouteTableError::DuplicateName(format!("team {name}")));
         }
     }
     Ok((teams, owners))
--- a/src/relay/taking.rs
+++ b/src/relay/taking.rs
@@ -22,7 +22,7 @@
 
 use super::Relay;
 use super::call::Call;
-use super::keeping::Kept;
+use super::keeping::RequestReservation;
 use super::table::Route;
 use crate::decide::memory::{MemoryClaim, MemoryReservation, Purpose};
 use crate::decide::slowness::{ReadProgress, Slowness, check_progress};
@@ -63,11 +63,11 @@
 struct DeliveryState {
     progress: Mutex<Progress>,
     taken: Notify,
-    kept: Kept,
+    kept: RequestReservation,
 }
 
 impl DeliveryState {
-    fn new(kept: Kept) -> Arc<Self> {
+    fn new(kept: RequestReservation) -> Arc<Self> {
         let progress = Progress {
             kept_bytes: 0,
             taken_bytes: 0,
@@ -154,7 +154,7 @@
     relay: Arc<Relay>,
     call: Arc<Call>,
     route: Arc<Route>,
-    kept: Kept,
+    kept: RequestReservation,
     events: impl Stream<Item = io::Result<Bytes>> + Send + 'static,
 ) -> Body {
     let (sender, mut pieces) = mpsc::unbounded_channel();
@@ -169,7 +169,7 @@
     relay: Arc<Relay>,
     call: Arc<Call>,
     route: Arc<Route>,
-    kept: Kept,
+    kept: RequestReservation,
     body: Bytes,
 ) -> Body {
     if body.len() as u64 <= UNCHARGED_BYTES {
@@ -195,7 +195,12 @@
 }
 
 impl Delivery {
-    fn new(relay: Arc<Relay>, call: Arc<Call>, route: Arc<Route>, kept: Kept) -> Self {
+    fn new(
+        relay: Arc<Relay>,
+        call: Arc<Call>,
+        route: Arc<Route>,
+        kept: RequestReservation,
+    ) -> Self {
         Self {
             relay,
             call,
@@ -313,7 +318,7 @@
             return false;
         };
         self.log_slow_caller(slow, &taking);
-        self.state.kept.cut();
+        self.state.kept.close_connection();
         true
     }
 
--- a/src/telemetry/gauges.rs
+++ b/src/telemetry/gauges.rs
@@ -140,7 +140,7 @@
     }
 
     fn record_distances(&self, relay: &Relay) {
-        for (data_centre, time) in relay.distances().all(Instant::now()) {
+        for (data_centre, time) in relay.distances().learned_rtts(Instant::now()) {
             self.distance.record(time, &[KeyValue::new("data_centre", data_centre.to_string())]);
         }
         let traffic = &relay.traffic;
--- a/tests/distance.rs
+++ b/tests/distance.rs
@@ -8,7 +8,7 @@
     estimate_other_requests_by_region, expected_wait, sample_indices, should_search_farther,
 };
 use emberturn::decide::distance::{
-    ByteWeights, Copying, Distance, Distances, fetch_saves, kilobytes,
+    ByteWeights, Distance, Distances, KvCopy, fetch_saves, kilobytes,
 };
 use emberturn::decide::engine::EngineModel;
 use emberturn::decide::spill::SpillTracker;
@@ -437,10 +437,10 @@
     for place in 0..40_u64 {
         // Two of three meet a busy box or server.
         let took = if place.is_multiple_of(3) { 16 } else { 40 + place };
-        distances.note(&far, Duration::from_millis(took), now);
+        distances.record_connect(&far, Duration::from_millis(took), now);
     }
     assert_eq!(distances.time(&far, Reach::Remote, now), 16.0);
-    assert_eq!(distances.all(now).len(), 1);
+    assert_eq!(distances.learned_rtts(now).len(), 1);
 }
 
 #[test]
@@ -449,14 +449,14 @@
     let far = data_centre("b1");
     let unlearned = distances.time(&far, Reach::Remote, begin);
     for _ in 0..8 {
-        distances.note(&far, Duration::from_millis(70), begin);
+        distances.record_connect(&far, Duration::from_millis(70), begin);
     }
     assert_eq!(distances.time(&far, Reach::Remote, begin), 70.0);
     let later = begin + Duration::from_secs(600);
     assert_eq!(distances.time(&far, Reach::Remote, later), unlearned);
     // What was seen before does not count with what is seen after.
     for _ in 0..4 {
-        distances.note(&far, Duration::from_millis(90), later);
+        distances.record_connect(&far, Duration::from_millis(90), later);
     }
     assert_eq!(distances.time(&far, Reach::Remote, later), 90.0);
 }
@@ -465,7 +465,7 @@
 fn one_connect_tells_no_distance() {
     let (mut distances, now) = (Distances::default(), Instant::now());
     let (far, near) = (data_centre("b1"), data_centre("a2"));
-    distances.note(&far, Duration::from_millis(900), now);
+    distances.record_connect(&far, Duration::from_millis(900), now);
     assert!(distances.time(&far, Reach::Remote, now) < 100.0);
     assert!(distances.time(&near, Reach::Regional, now) < distances.time(&far, Reach::Remote, now));
     assert_eq!(distances.time(&near, Reach::Local, now), 0.0);
@@ -473,14 +473,14 @@
 
 #[test]
 fn copy_crosses_regions_only_where_it_saves() {
-    let copying = Copying { rate: 1_500_000.0, token_bytes: 160_000.0 };
+    let copying = KvCopy { rate: 1_500_000.0, token_bytes: 160_000.0 };
     let free = ByteWeights::default();
     // 20,000 tokens are read in 133 ms and copied in 13.
     assert!(fetch_saves(&MODEL, 20_000, &copying, 16.0, &free));
     assert!(!fetch_saves(&MODEL, 20_000, &copying, 200.0, &free));
     assert!(!fetch_saves(&MODEL, 1_000, &copying, 16.0, &free));
     assert!(!fetch_saves(&MODEL, 20_000, &copying, 16.0, &WEIGHTS));
-    let none = Copying { rate: 0.0, ..copying };
+    let none = KvCopy { rate: 0.0, ..copying };
     assert!(!fetch_saves(&MODEL, 20_000, &none, 16.0, &free));
 }
 
@@ -496,7 +496,7 @@
             true => Reach::Remote,
             false => Reach::Local,
         };
-        told.extend(book.note(&service, reach, now).map(|news| news.begun));
+        told.extend(book.record(&service, reach, now).map(|news| news.begun));
     }
     assert_eq!(told, [true, false]);
 }
--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -153,7 +153,7 @@
     for _ in 0..500 {
         let mut book = EngineTracker::default();
         for _ in 0..2 {
-            book.note(&service, seen(&engine, &mut rng));
+            book.record_observation(&service, seen(&engine, &mut rng));
             book.record_served(&service, false);
             book.record_stream(&service, 20, 100, 0.3);
         }
@@ -173,7 +173,7 @@
     let engine = Engine { rate: 64_200.0, base: 0.005, busy: 0.0, crowd: 0.5, grey: 0.0 };
     let service: ServiceName = "svc".parse().unwrap();
     let (mut rng, mut book) = (SmallRng::seed_from_u64(3), EngineTracker::default());
-    (0..100).for_each(|_| book.note(&service, seen(&engine, &mut rng)));
+    (0..100).for_each(|_| book.record_observation(&service, seen(&engine, &mut rng)));
     assert!(book.learned()[&service].is_learned());
     assert!(book.take_samples().is_empty());
 }
--- a/tests/nearest.rs
+++ b/tests/nearest.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use emberturn::decide::nearest::Nearest;
+use emberturn::decide::nearest::ReplicaSelector;
 use emberturn::decide::topology::Reach;
 use emberturn::ids::BoxId;
 use yare::parameterized;
@@ -25,12 +25,16 @@
     [Reach::Remote, Reach::Regional, Reach::Remote, Reach::Regional, Reach::Remote];
 
 /// Asks until a replica is asked a second time in a row, each of them telling how far it is.
-fn settle(nearest: &mut Nearest, far: &BTreeMap<BoxId, Reach>, now: Instant) -> (BoxId, usize) {
+fn settle(
+    nearest: &mut ReplicaSelector,
+    far: &BTreeMap<BoxId, Reach>,
+    now: Instant,
+) -> (BoxId, usize) {
     let mut known = BTreeMap::new();
     let mut last = None;
     for asked in 1.. {
         let chosen = nearest.choose(&replicas(), |it| known.get(it).copied(), now).unwrap();
-        nearest.answered(&chosen);
+        nearest.record_success(&chosen);
         known.insert(chosen.clone(), far[&chosen]);
         if last.as_ref() == Some(&chosen) {
             return (chosen, asked);
@@ -43,7 +47,7 @@
 #[parameterized(first = { 0.0 }, middle = { 0.5 }, last = { 0.99 })]
 fn box_settles_at_a_replica_of_its_region(start: f64) {
     let (far, now) = (reaches(FAR), Instant::now());
-    let (settled, asked) = settle(&mut Nearest::new(start), &far, now);
+    let (settled, asked) = settle(&mut ReplicaSelector::new(start), &far, now);
     assert_eq!(far[&settled], Reach::Regional);
     assert!(asked <= 6, "{asked}");
 }
@@ -51,26 +55,26 @@
 #[test]
 fn box_without_a_replica_of_its_region_stays_at_one() {
     let far = reaches([Reach::Remote; 5]);
-    let (settled, asked) = settle(&mut Nearest::new(0.3), &far, Instant::now());
+    let (settled, asked) = settle(&mut ReplicaSelector::new(0.3), &far, Instant::now());
     assert_eq!((far[&settled], asked), (Reach::Remote, 6));
 }
 
 #[test]
 fn replica_that_fails_is_left_at_once_and_asked_again_when_its_time_is_over() {
     let (far, now) = (reaches(FAR), Instant::now());
-    let mut nearest = Nearest::new(0.0);
-    let ask = |nearest: &mut Nearest, now| {
+    let mut nearest = ReplicaSelector::new(0.0);
+    let ask = |nearest: &mut ReplicaSelector, now| {
         nearest.choose(&replicas(), |it| far.get(it).copied(), now).unwrap()
     };
     let first = ask(&mut nearest, now);
-    nearest.failed(&first, now);
+    nearest.record_failure(&first, now);
     let second = ask(&mut nearest, now);
     assert_eq!((far[&second], second != first), (Reach::Regional, true));
     // The whole region is gone: one that is far serves.
-    nearest.failed(&second, now);
+    nearest.record_failure(&second, now);
     let third = ask(&mut nearest, now);
     assert_eq!(far[&third], Reach::Remote);
-    nearest.answered(&third);
+    nearest.record_success(&third);
     let later = now + Duration::from_secs(6);
     assert_eq!(far[&ask(&mut nearest, later)], Reach::Regional);
 }
@@ -79,16 +83,16 @@
 #[test]
 fn replica_that_goes_on_failing_is_asked_less_and_less() {
     let (far, start) = (reaches(FAR), Instant::now());
-    let mut nearest = Nearest::new(0.0);
+    let mut nearest = ReplicaSelector::new(0.0);
     let mut asked = 0;
     for second in 0..600 {
         let now = start + Duration::from_secs(second);
         let chosen = nearest.choose(&replicas(), |it| far.get(it).copied(), now).unwrap();
         match far[&chosen] {
-            Reach::Remote => nearest.answered(&chosen),
+            Reach::Remote => nearest.record_success(&chosen),
             Reach::Local | Reach::Regional => {
                 asked += 1;
-                nearest.failed(&chosen, now);
+                nearest.record_failure(&chosen, now);
             }
         }
     }
@@ -100,7 +104,7 @@
     let now = Instant::now();
     let mut counts = BTreeMap::new();
     for place in 0..100 {
-        let mut nearest = Nearest::new(f64::from(place) / 100.0);
+        let mut nearest = ReplicaSelector::new(f64::from(place) / 100.0);
         let chosen = nearest.choose(&replicas(), |_| None, now).unwrap();
         *counts.entry(chosen).or_insert(0) += 1;
     }
@@ -110,14 +114,14 @@
 #[test]
 fn with_one_region_a_box_stays_where_it_is_answered() {
     let now = Instant::now();
-    let mut nearest = Nearest::new(0.6);
-    let ask = |nearest: &mut Nearest| nearest.choose(&replicas(), |_| None, now).unwrap();
+    let mut nearest = ReplicaSelector::new(0.6);
+    let ask = |nearest: &mut ReplicaSelector| nearest.choose(&replicas(), |_| None, now).unwrap();
     let first = ask(&mut nearest);
-    nearest.answered(&first);
+    nearest.record_success(&first);
     assert_eq!(ask(&mut nearest), first);
-    nearest.failed(&first, now);
+    nearest.record_failure(&first, now);
     let next = ask(&mut nearest);
     assert_ne!(next, first);
-    nearest.answered(&next);
+    nearest.record_success(&next);
     assert_eq!(ask(&mut nearest), next);
 }
--- a/tests/server_list.rs
+++ b/tests/server_list.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use emberturn::decide::subset::{SUBSET, chosen, part_bits, parts_taken, shares};
+use emberturn::decide::subset::{
+    SUBSET_SIZE, part_bits, parts_to_take, select_parts, servers_per_reach,
+};
 use emberturn::ids::{BackendId, BoxId, DataCentre, Region, Term};
 use emberturn::peer::packed::Packed;
 use emberturn::relay::list::{ListIndex, PartId, Server};
@@ -76,9 +78,9 @@
     count: usize,
 ) -> Result<BTreeMap<DataCentre, usize>, TestCaseError> {
     let held = book.for_service(&"ember-assist".parse().unwrap());
-    let bounds = count.min(SUBSET / 2)..=count.min(2 * SUBSET);
+    let bounds = count.min(SUBSET_SIZE / 2)..=count.min(2 * SUBSET_SIZE);
     prop_assert!(bounds.contains(&held.len()), "{}", held.len());
-    if count <= SUBSET {
+    if count <= SUBSET_SIZE {
         prop_assert_eq!(held.len(), count);
     }
     let mut by_centre = BTreeMap::new();
@@ -178,9 +180,9 @@
     /// What is to be known is there, and no more than is to be known in all.
     #[test]
     fn shares_fill_up(there in prop::array::uniform3(0_usize..3_000)) {
-        let shares = shares(there);
+        let shares = servers_per_reach(there);
         let total: usize = there.iter().sum();
-        prop_assert_eq!(shares.iter().sum::<usize>(), total.min(SUBSET));
+        prop_assert_eq!(shares.iter().sum::<usize>(), total.min(SUBSET_SIZE));
         prop_assert!(shares.iter().zip(there).all(|(share, there)| *share <= there));
     }
 
@@ -196,7 +198,7 @@
             prop_assert_eq!(part_bits(count, moved), moved);
             prop_assert_eq!(part_bits(next, moved), moved);
         }
-        prop_assert!(parts_taken(1 << bits, SUBSET, count) <= 1 << bits);
+        prop_assert!(parts_to_take(1 << bits, SUBSET_SIZE, count) <= 1 << bits);
     }
 }
 
@@ -376,11 +378,11 @@
 #[test]
 fn parts_that_a_box_takes_are_its_own_and_stay_when_others_come() {
     let parts: Vec<u64> = (0..64).map(|it: u64| it.wrapping_mul(0x9e37_79b9_7f4a_7c15)).collect();
-    let some = chosen(1, &parts, 8);
+    let some = select_parts(1, &parts, 8);
     assert_eq!(some.len(), 8);
-    assert_ne!(some, chosen(2, &parts, 8));
-    assert!(some.iter().all(|place| chosen(1, &parts, 9).contains(place)));
-    assert_eq!(chosen(1, &parts, 100).len(), 64);
+    assert_ne!(some, select_parts(2, &parts, 8));
+    assert!(some.iter().all(|place| select_parts(1, &parts, 9).contains(place)));
+    assert_eq!(select_parts(1, &parts, 100).len(), 64);
 }
 
 #[test]
--- a/tests/topology.rs
+++ b/tests/topology.rs
@@ -30,7 +30,7 @@
     assert_eq!(reach("a1"), Reach::Local);
     assert_eq!(reach("a2"), Reach::Regional);
     assert_eq!(reach("b1"), Reach::Remote);
-    assert!(read.is_split());
+    assert!(read.has_multiple_regions());
 }
 
 #[test]
@@ -42,9 +42,9 @@
 #[test]
 fn fleet_without_regions_is_one() {
     let read = settings("").unwrap().topology();
-    assert!(!read.is_split());
+    assert!(!read.has_multiple_regions());
     assert_eq!(read.reach(&"b1".parse().unwrap()), Reach::Regional);
-    assert!(!topology("a1", &[("a1", "a"), ("a2", "a")]).is_split());
+    assert!(!topology("a1", &[("a1", "a"), ("a2", "a")]).has_multiple_regions());
 }
 
 #[parameterized(
