--- a/tests/certainty.rs
+++ b/tests/certainty.rs
@@ -1,4 +1,5 @@
-//! What a box may say by the routes it holds, by what it was told of newer ones and when.
+//! Which answers a box may give, depending on what it was told about the latest configuration and
+//! when.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,7 +11,7 @@
 use emberturn::state::document::Document;
 use yare::parameterized;
 
-const AIMS: PropagationTargets =
+const TARGETS: PropagationTargets =
     PropagationTargets { change: Duration::from_secs(2), revoke: Duration::from_secs(5) };
 
 #[parameterized(
@@ -23,81 +24,87 @@
     told_and_never_sure = { None, true, [false, false, false] },
 )]
 fn each_claim_has_its_own_bound(age_ms: Option<u64>, behind: bool, may: [bool; 3]) {
-    let certainty = ConfigFreshness {
-        targets: AIMS,
+    let freshness = ConfigFreshness {
+        targets: TARGETS,
         age: age_ms.map(Duration::from_millis),
         is_behind: behind,
     };
-    let [deny, run, trust] = may;
-    assert_eq!(certainty.may_reject_unknown(), deny);
-    assert_eq!(certainty.may_use_routes(), run);
-    assert_eq!(certainty.may_trust_keys(), trust);
+    let [reject, run, trust] = may;
+    assert_eq!(freshness.may_reject_unknown(), reject);
+    assert_eq!(freshness.may_use_routes(), run);
+    assert_eq!(freshness.may_trust_keys(), trust);
 }
 
 fn board_with(version: u64) -> Blackboard {
     let board = Blackboard::new("box-1".parse().unwrap());
-    hold(&board, version);
+    store(&board, version);
     board
 }
 
-fn hold(board: &Blackboard, version: u64) {
+fn store(board: &Blackboard, version: u64) {
     board.put_document(Arc::new(Document { version: Version(version), text: "".into() }));
 }
 
-/// Word that a document is the newest, certainly so `age` before `asked`.
-fn tell(board: &Blackboard, version: u64, asked: Instant, age: Option<Duration>) {
+/// Records an answer that names the latest document, which was known to be the latest `age` before
+/// `asked`.
+fn record_answer(board: &Blackboard, version: u64, asked: Instant, age: Option<Duration>) {
     board.record_answer(Version(version), None, asked, age);
 }
 
-/// A moment so long ago.
+/// The time this many seconds ago.
 fn ago(seconds: u64) -> Instant {
     clock::now() - Duration::from_secs(seconds)
 }
 
-/// Whether an age is this one and what the test took: the ages of a test are ten seconds apart.
-fn is_about(age: Option<Duration>, seconds: u64) -> bool {
+/// Whether an age matches, apart from the running time of the test: the ages in a test differ by
+/// ten seconds.
+fn is_approximately(age: Option<Duration>, seconds: u64) -> bool {
     age.is_some_and(|age| age.as_secs() / 10 == seconds / 10)
 }
 
 #[test]
 fn word_of_a_newer_document_says_nothing_of_the_one_held() {
     let board = board_with(7);
-    tell(&board, 7, ago(90), Some(Duration::from_secs(10)));
-    tell(&board, 8, ago(30), Some(Duration::ZERO));
-    assert!(board.is_behind() && is_about(board.age(), 100) && is_about(board.word_age(), 30));
+    record_answer(&board, 7, ago(90), Some(Duration::from_secs(10)));
+    record_answer(&board, 8, ago(30), Some(Duration::ZERO));
+    assert!(
+        board.is_behind()
+            && is_approximately(board.age(), 100)
+            && is_approximately(board.word_age(), 30)
+    );
     assert_eq!(board.newest(), Version(8));
 }
 
 #[test]
 fn document_that_comes_later_is_as_sure_as_the_word_of_it_was() {
     let board = board_with(7);
-    tell(&board, 8, ago(30), Some(Duration::from_secs(10)));
+    record_answer(&board, 8, ago(30), Some(Duration::from_secs(10)));
     assert_eq!(board.age(), None);
-    hold(&board, 8);
-    assert!(!board.is_behind() && is_about(board.age(), 40));
+    store(&board, 8);
+    assert!(!board.is_behind() && is_approximately(board.age(), 40));
 }
 
 #[test]
 fn document_newer_than_all_words_is_as_sure_as_the_last_of_them() {
     let board = board_with(7);
-    tell(&board, 8, ago(30), Some(Duration::ZERO));
-    hold(&board, 9);
-    assert!(!board.is_behind() && is_about(board.age(), 30));
+    record_answer(&board, 8, ago(30), Some(Duration::ZERO));
+    store(&board, 9);
+    assert!(!board.is_behind() && is_approximately(board.age(), 30));
 }
 
 #[test]
 fn word_of_a_replica_that_is_behind_changes_nothing() {
     let board = board_with(8);
-    tell(&board, 8, ago(20), Some(Duration::ZERO));
-    tell(&board, 7, ago(10), Some(Duration::from_secs(60)));
-    assert!(!board.is_behind() && is_about(board.age(), 20));
+    record_answer(&board, 8, ago(20), Some(Duration::ZERO));
+    record_answer(&board, 7, ago(10), Some(Duration::from_secs(60)));
+    assert!(!board.is_behind() && is_approximately(board.age(), 20));
     assert_eq!(board.newest(), Version(8));
 }
 
 #[test]
 fn word_without_a_time_tells_the_number_only() {
     let board = board_with(7);
-    tell(&board, 8, ago(10), None);
-    hold(&board, 8);
+    record_answer(&board, 8, ago(10), None);
+    store(&board, 8);
     assert_eq!((board.is_behind(), board.age()), (false, None));
 }
--- a/tests/decide.rs
+++ b/tests/decide.rs
@@ -1,4 +1,4 @@
-//! Laws of the pure decisions.
+//! Invariants of the decision logic.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -43,8 +43,8 @@
 }
 
 proptest! {
-    /// However leases are asked for, renewed, lost on the way and shrunk, what all boxes may use
-    /// together never exceeds the limit.
+    /// Whatever leases are requested, renewed, lost in transit or reduced, all boxes together never
+    /// use more than the limit.
     #[test]
     fn shares_of_all_boxes_never_exceed_the_limit(
         steps in prop::collection::vec((0_u8..5, 0_u32..80, 1_u64..1_500, any::<bool>()), 1..120),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// A new leader grants nothing while leases of the former one may hold.
+    /// A new leader grants nothing while leases of the former leader may still be valid.
     #[test]
     fn new_leader_waits_for_the_former_leases(start in 0_u64..10_000, early in 0..LEASE_MS) {
         let whole = Share { concurrent: 60, budget: Tokens(6_000) };
@@ -84,7 +84,7 @@
         prop_assert_eq!(lessor.grant(start + LEASE_MS, &box_id, &team(0), whole, wanted), wanted);
     }
 
-    /// Admitted requests never exceed the limits, and what is released is there again.
+    /// Admitted requests never exceed the limits, and released capacity becomes available again.
     #[test]
     fn admission_keeps_both_limits(steps in prop::collection::vec((any::<bool>(), 1_u64..400), 1..200)) {
         let limit = TeamLimit { concurrent: 5, budget: Tokens(1_000) };
@@ -110,21 +110,23 @@
         }
     }
 
-    /// Attempts beyond the first stay a share of the requests, whatever the order.
+    /// Attempts beyond the first stay within their share of the requests, in whatever order they
+    /// come.
     #[test]
-    fn retries_stay_within_their_share(wishes in prop::collection::vec(any::<bool>(), 1..3_000)) {
+    fn retries_stay_within_their_share(attempts in prop::collection::vec(any::<bool>(), 1..3_000)) {
         let mut budget = RetryBudget::default();
         let start = budget.available();
         let (mut requests, mut retries) = (0_u64, 0_u64);
-        for wish in wishes {
+        for is_wanted in attempts {
             requests += 1;
             budget.deposit(10);
-            retries += u64::from(wish && budget.try_withdraw());
+            retries += u64::from(is_wanted && budget.try_withdraw());
         }
         prop_assert!(retries <= requests / 10 + start + 1);
     }
 
-    /// Nothing leaves the queue past its deadline, nothing is lost, and it holds no more than it may.
+    /// No request leaves the queue after its deadline, none is lost, and the queue never exceeds
+    /// its capacity.
     #[test]
     fn queue_holds_its_laws(
         steps in prop::collection::vec((0_u8..4, any::<bool>(), 1_u64..500, 0_u64..40), 1..200),
@@ -156,7 +158,8 @@
         }
     }
 
-    /// A chosen server is open; none is chosen only when none is open.
+    /// A chosen server has a free slot, and one is chosen whenever there is a server with a free
+    /// slot.
     #[test]
     fn route_chooses_an_open_server(
         loads in prop::collection::vec((1_u32..20, 0_u32..40, prop::option::of(0_u32..40)), 0..40),
@@ -174,7 +177,7 @@
         }
     }
 
-    /// A stream is left to finish only where it can, or must.
+    /// A stream is left to finish only if it has the time, or if there is no alternative.
     #[test]
     fn way_fits_the_notice(
         notice in 0_u64..20_000, remaining in 0_u64..4_000, between in 1_u64..100, repeatable: bool,
@@ -200,7 +203,7 @@
 #[test]
 fn teams_of_equal_weight_get_equal_parts_while_both_wait() {
     let mut queue = WaitQueue::new(10_000);
-    // One team brings ten times as many requests; both wait all the time.
+    // One team sends ten times as many requests; both always have requests waiting.
     for number in 0..1_100_u64 {
         let owner = if number % 11 == 0 { 1 } else { 0 };
         let class = Class::Interactive;
@@ -237,10 +240,10 @@
             *uses.entry(id).or_default() += 1;
         }
     }
-    // 96 boxes with 128 of 1,040 each: about 11.8 boxes for each server.
+    // 96 boxes with 128 of 1,040 servers each: about 11.8 boxes per server.
     assert_eq!(uses.len(), 1_040, "a server is used by nobody");
     assert!(uses.values().all(|count| (1..=28).contains(count)), "{:?}", uses.values().max());
-    // A server that goes changes at most one place in each box's subset.
+    // When a server leaves, at most one entry of each box's subset changes.
     let before = subset(&fleet, &service, &boxes[0]);
     fleet.backends.remove(&before[0]);
     let after = subset(&fleet, &service, &boxes[0]);
--- a/tests/distance.rs
+++ b/tests/distance.rs
@@ -421,7 +421,8 @@
         let words: Vec<_> = words.into_iter().map(|it| it.map(word)).collect();
         let regions = vec![0; words.len()];
         prop_assert_eq!(
-            estimate_other_requests_by_region(&words, &regions, Some(1.0)), estimate_other_requests(&words, Some(1.0)),
+            estimate_other_requests_by_region(&words, &regions, Some(1.0)),
+            estimate_other_requests(&words, Some(1.0)),
         );
     }
 }
--- a/tests/policy.rs
+++ b/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Policies: what they decide, what bounds them, and changing them under traffic.
+//! Policies: their decisions, their limits, and changing them under traffic.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use support::{BoxPlan, Cluster, base_change, prompt};
 use yare::parameterized;
 
-fn facts() -> PolicyInput {
+fn input() -> PolicyInput {
     PolicyInput {
         team: "portal".parse().unwrap(),
         service: "small".parse().unwrap(),
@@ -27,8 +27,8 @@
 fn decide(program: &str) -> Result<PolicyDecision, String> {
     let name = "p".parse().unwrap();
     let policies = Policies::compile(&BTreeMap::from([(name, program.to_owned())]));
-    let decided = policies.decide(&"p".parse().unwrap(), &facts());
-    decided.map_err(|fault| fault.detail)
+    let result = policies.decide(&"p".parse().unwrap(), &input());
+    result.map_err(|error| error.detail)
 }
 
 #[test]
@@ -40,11 +40,11 @@
             }
             #{}
         }"#;
-    let ruling = decide(program).unwrap();
-    assert_eq!(ruling.class, Some(Class::Batch));
-    assert_eq!(ruling.wait, Some(Millis(500)));
-    assert_eq!(ruling.data_centres.len(), 2);
-    assert!(ruling.on_demand && ruling.refuse.is_none());
+    let decision = decide(program).unwrap();
+    assert_eq!(decision.class, Some(Class::Batch));
+    assert_eq!(decision.wait, Some(Millis(500)));
+    assert_eq!(decision.data_centres.len(), 2);
+    assert!(decision.on_demand && decision.refuse.is_none());
     assert_eq!(decide("fn decide(request) { #{} }"), Ok(PolicyDecision::default()));
 }
 
@@ -62,8 +62,8 @@
     evaluates = { "fn decide(request) { eval(\"1\") }", "eval" },
 )]
 fn bad_program_is_a_fault_and_not_a_ruling(program: &str, part: &str) {
-    let fault = decide(program).unwrap_err();
-    assert!(fault.contains(part), "{fault}");
+    let error = decide(program).unwrap_err();
+    assert!(error.contains(part), "{error}");
 }
 
 async fn write_policy(cluster: &Cluster, program: &str) -> String {
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -497,7 +497,7 @@
         right += u64::from(result.phase == Some(end));
         if result.phase != Some(end) {
             println!(
-                "  {kind} {seed}: {version:?}, {rate:.0}/s in {duration:.0} s, {boxes} boxes, base_failure_rate {base_failure_rate}: {result:?}"
+                "  {kind} {seed}: {version:?}, {rate:.0}/s in {duration:.0} s, {boxes} boxes, failure rate {base_failure_rate}: {result:?}"
             );
         }
         exposed += result.exposed as f64 / allowed / count as f64;
--- a/tests/rollouts.rs
+++ b/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! Roll-outs on the whole path: orders of operators, what callers get meanwhile, and what is left after
+//! Roll-outs end to end: operators' orders, what callers get meanwhile, and what remains after
 //! boxes and leaders are lost.
 
 #[path = "support/platform.rs"]
@@ -18,7 +18,7 @@
     json!({ "service": "svc", "target_version": release, "duration_s": seconds })
 }
 
-/// Orders a roll-out, again and again until it is taken.
+/// Orders a roll-out, retrying until it is accepted.
 async fn start(system: &System, place: u8, order: &Value) {
     system
         .until("the roll-out is taken", || async {
@@ -28,7 +28,7 @@
         .await;
 }
 
-/// A system of one relay with a server of the release `v1` in force.
+/// A system with one relay and one server, whose release `v1` is in force.
 async fn system_with(server: &StandIn) -> System {
     let system = System::start(1).await;
     system.cloud.list(server, "svc");
@@ -37,7 +37,8 @@
     system
 }
 
-/// Sends requests one after the other until the roll-out has ended; its state and the requests sent.
+/// Sends requests one after another until the roll-out has ended. Returns its state and the number
+/// of requests.
 async fn ask_until_over(system: &System) -> (String, u64) {
     let asked = AtomicU64::new(0);
     let state = system
@@ -64,15 +65,15 @@
         let reply = system.order_rollout(place, &order("v3", 600.0)).await.unwrap();
         assert_eq!(reply.status, 409, "{reply:?}");
     }
-    // Whoever leads after a loss of everything knows it, too.
+    // The roll-out is still known after all replicas were killed and started again.
     for place in 1..=5 {
         system.kill(place).await;
     }
     for place in 1..=5 {
         system.launch(place, "replica").await;
     }
-    let told = system.rollout(4, "svc").await;
-    assert_eq!(told, json!({ "state": "running", "target_version": "v2" }));
+    let shown = system.rollout(4, "svc").await;
+    assert_eq!(shown, json!({ "state": "running", "target_version": "v2" }));
     let reply = system.order_rollout(3, &order("v2", 600.0)).await.unwrap();
     assert_eq!(reply.status, 200, "{reply:?}");
 }
@@ -106,7 +107,8 @@
     let other = StandIn::start("i-2", &[Act::Answer]).await;
     let from = (1..=5).map(|place| system.logged(place)).collect::<Vec<_>>();
     system.cloud.list_release(&other, "svc", "v9");
-    // The relay knows both once the leader has read the list and each word has been answered twice.
+    // The relay knows both servers once the leader has read the list and each of its reports has
+    // been answered twice.
     let parts = ["event=list_read", "svc/v9:1"];
     let lines = (1..=5)
         .map(|place| Box::pin(system.wait_line(place, from[usize::from(place) - 1], &parts)));
@@ -160,7 +162,7 @@
     let mut system = system_with(&server).await;
     let next = StandIn::start("i-2", &[Act::Fail(500)]).await;
     start(&system, 3, &order("v2", 60.0)).await;
-    // All replicas are lost before a server of the new release is there.
+    // All replicas are killed before a server of the new release is available.
     for place in 1..=5 {
         system.kill(place).await;
     }
@@ -189,6 +191,6 @@
     assert_eq!(run(&["rollout", "start", "svc", "v3", "10m"]).await.0, Some(3));
     let (code, said) = run(&["rollout", "abort", "svc"]).await;
     assert!(code == Some(0) && said.contains("phase=rolled_back"), "{said}");
-    let told = system.rollout(5, "svc").await;
-    assert_eq!(told["state"], "rolled_back");
+    let shown = system.rollout(5, "svc").await;
+    assert_eq!(shown["state"], "rolled_back");
 }
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -1,4 +1,4 @@
-//! The table of routes: finding one, and every way in which a table is not valid.
+//! The routing table: looking up routes, and every way in which a table can be invalid.
 
 #[path = "support/platform.rs"]
 #[allow(dead_code, reason = "each test takes what it needs")]
--- a/tests/server_lives.rs
+++ b/tests/server_lives.rs
@@ -1,4 +1,5 @@
-//! Servers that start again under their id: what is known of one life is not believed of another.
+//! Servers that restart under their ID: what is known of one incarnation must not be carried over
+//! to another.
 
 #[path = "support/platform.rs"]
 #[allow(dead_code, reason = "each test takes what it needs")]
@@ -28,12 +29,12 @@
 
 const NONE: Incarnation = Incarnation(0);
 
-/// A life that began before any test knew a server.
+/// An incarnation that started before any test knew the server.
 fn former() -> Incarnation {
     Incarnation(UnixMillis::now().0 - 60_000)
 }
 
-/// A life that begins after a test has first known its servers.
+/// An incarnation that starts after a test has first seen its servers.
 fn later() -> Incarnation {
     Incarnation(UnixMillis::now().0 + 5_000)
 }
@@ -56,96 +57,96 @@
     }
 }
 
-fn key(life: Incarnation) -> ServerKey {
-    ServerKey { id: server(false).id, life }
+fn key(incarnation: Incarnation) -> ServerKey {
+    ServerKey { id: server(false).id, life: incarnation }
 }
 
-fn told(life: Incarnation) -> IncarnationReport {
-    IncarnationReport { server: key(life), addr: addr(1) }
+fn incarnation_report(incarnation: Incarnation) -> IncarnationReport {
+    IncarnationReport { server: key(incarnation), addr: addr(1) }
 }
 
-/// Has a box take a list with the server as some leader knows it.
-fn take(book: &ServerTable, place: u64, server: Server, life: Incarnation) {
-    let listed = [ListedServer { server, incarnation: life }];
+/// Applies a list that shows the server as some leader knows it.
+fn apply_list(table: &ServerTable, place: u64, server: Server, incarnation: Incarnation) {
+    let listed = [ListedServer { server, incarnation }];
     let (print, id) = (ContentHash::of(&listed), "svc/here/0/0".parse().unwrap());
     let version = ListVersion { term: Term(1), sequence: place };
-    book.apply_index(ListIndex::new(version, vec![(id, print)]));
+    table.apply_index(ListIndex::new(version, vec![(id, print)]));
     let id = "svc/here/0/0".parse().unwrap();
-    book.apply_parts(vec![ListPart::new(id, print, &listed, Millis(0))]);
+    table.apply_parts(vec![ListPart::new(id, print, &listed, Millis(0))]);
 }
 
-fn known(book: &ServerTable) -> Arc<KnownServer> {
-    book.find(&server(false).id).unwrap()
+fn known(table: &ServerTable) -> Arc<KnownServer> {
+    table.find(&server(false).id).unwrap()
 }
 
-fn report(life: Incarnation, running: u32, leaving: bool) -> ServerReport {
+fn report(incarnation: Incarnation, running: u32, leaving: bool) -> ServerReport {
     let load = Some(ServerLoad { running, waiting: 0 });
-    ServerReport { incarnation: life, load, leaving: Some(leaving), time_left: None }
+    ServerReport { incarnation, load, leaving: Some(leaving), time_left: None }
 }
 
-/// A word of a server that reaches a box.
+/// A message about a server that reaches a box.
 #[derive(Debug, Clone, Copy)]
-enum Word {
-    /// The leader's list shows it, leaving or not.
+enum Message {
+    /// The leader's list shows the server, leaving or not.
     List(bool),
-    /// It says so itself.
+    /// The server reports on itself.
     Report(u32, bool),
-    /// The leader tells its load.
+    /// The leader reports the server's load.
     Load(u32),
-    /// Requests that were sent to it failed, and its address answered for another.
+    /// Requests to the server failed, and its address answered for another server.
     Failed,
 }
 
-fn word() -> impl Strategy<Value = Word> {
+fn message() -> impl Strategy<Value = Message> {
     prop_oneof![
-        any::<bool>().prop_map(Word::List),
-        (0_u32..9, any::<bool>()).prop_map(|(running, leaving)| Word::Report(running, leaving)),
-        (0_u32..9).prop_map(Word::Load),
-        Just(Word::Failed),
+        any::<bool>().prop_map(Message::List),
+        (0_u32..9, any::<bool>()).prop_map(|(running, leaving)| Message::Report(running, leaving)),
+        (0_u32..9).prop_map(Message::Load),
+        Just(Message::Failed),
     ]
 }
 
-/// A box that has known a server in one life, `life`, which it was told by itself.
-struct Hearer {
-    book: ServerTable,
+/// A box that was told by a server itself which incarnation it is in.
+struct TestBox {
+    table: ServerTable,
     first: Arc<KnownServer>,
     place: u64,
 }
 
-impl Hearer {
-    fn new(life: Incarnation) -> Self {
-        let book = ServerTable::default();
-        take(&book, 1, server(false), NONE);
-        book.apply_incarnation(&known(&book), life);
-        Self { first: known(&book), book, place: 1 }
+impl TestBox {
+    fn new(incarnation: Incarnation) -> Self {
+        let table = ServerTable::default();
+        apply_list(&table, 1, server(false), NONE);
+        table.apply_incarnation(&known(&table), incarnation);
+        Self { first: known(&table), table, place: 1 }
     }
 
-    fn hear(&mut self, life: Incarnation, word: Word) {
-        match word {
-            Word::List(leaving) => {
+    fn receive(&mut self, incarnation: Incarnation, message: Message) {
+        match message {
+            Message::List(leaving) => {
                 self.place += 1;
-                take(&self.book, self.place, server(leaving), life);
+                apply_list(&self.table, self.place, server(leaving), incarnation);
             }
-            Word::Report(running, leaving) => {
-                self.book.apply_report(&self.first, &report(life, running, leaving));
+            Message::Report(running, leaving) => {
+                self.table.apply_report(&self.first, &report(incarnation, running, leaving));
             }
-            Word::Load(requests) => {
+            Message::Load(requests) => {
                 let (server, age) = (server(false).id, Millis(0));
-                self.book.apply_loads(&[LoadSample { server, incarnation: life, requests, age }]);
+                self.table.apply_loads(&[LoadSample { server, incarnation, requests, age }]);
             }
-            Word::Failed if life == self.first.incarnation() => {
+            Message::Failed if incarnation == self.first.incarnation() => {
                 while !self.first.state.fail() {}
                 self.first.mark_gone();
                 self.first.state.fail_route("r");
                 self.first.state.report(7, 0, Duration::ZERO);
             }
-            Word::Failed => {}
+            Message::Failed => {}
         }
     }
 
-    /// All that is known of the server as it is now.
-    fn sees(&self) -> (Incarnation, bool, bool, bool, Option<u32>) {
-        let known = known(&self.book);
+    /// All that the box knows of the server now.
+    fn snapshot(&self) -> (Incarnation, bool, bool, bool, Option<u32>) {
+        let known = known(&self.table);
         let load = known.state.load().map(|load| load.running);
         let avoided = known.state.is_avoided("r", Instant::now());
         (known.incarnation(), known.is_open(), known.state.is_ejected(), avoided, load)
@@ -155,72 +156,80 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(512))]
 
-    /// Whatever words of an earlier life arrive, and when: a box knows of the later one what it knew without.
+    /// Whatever messages of an earlier incarnation arrive, and whenever: the box's knowledge of the
+    /// later one is the same as without them.
     #[test]
     fn words_of_an_earlier_life_change_nothing_of_a_later_one(
-        words in prop::collection::vec((any::<bool>(), word()), 1..12),
+        messages in prop::collection::vec((any::<bool>(), message()), 1..12),
     ) {
         let (earlier, later) = (former(), later());
-        let (mut both, mut one) = (Hearer::new(earlier), Hearer::new(earlier));
-        for hearer in [&mut both, &mut one] {
-            hearer.hear(later, Word::Report(0, false));
+        let (mut both, mut one) = (TestBox::new(earlier), TestBox::new(earlier));
+        for test_box in [&mut both, &mut one] {
+            test_box.receive(later, Message::Report(0, false));
         }
-        for (is_later, word) in words {
-            both.hear(if is_later { later } else { earlier }, word);
+        for (is_later, message) in messages {
+            both.receive(if is_later { later } else { earlier }, message);
             if is_later {
-                one.hear(later, word);
+                one.receive(later, message);
             }
-            prop_assert_eq!(both.sees(), one.sees());
+            prop_assert_eq!(both.snapshot(), one.snapshot());
         }
     }
 
-    /// The same where the later life is heard of among the words: from then on.
+    /// The same where the box learns of the later incarnation from one of the messages: from then
+    /// on.
     #[test]
-    fn later_life_is_open_and_knows_nothing(words in prop::collection::vec(word(), 0..8)) {
+    fn later_life_is_open_and_knows_nothing(messages in prop::collection::vec(message(), 0..8)) {
         let (earlier, later) = (former(), later());
-        let mut hearer = Hearer::new(earlier);
-        words.into_iter().for_each(|word| hearer.hear(earlier, word));
-        hearer.hear(later, Word::List(false));
-        prop_assert_eq!(hearer.sees(), (later, true, false, false, None));
+        let mut test_box = TestBox::new(earlier);
+        messages.into_iter().for_each(|message| test_box.receive(earlier, message));
+        test_box.receive(later, Message::List(false));
+        prop_assert_eq!(test_box.snapshot(), (later, true, false, false, None));
     }
 
-    /// Leaders and boxes that hear of lives in any order come to the same one.
+    /// Leaders and boxes that learn of incarnations in any order arrive at the same one.
     #[test]
     fn lives_are_heard_in_any_order(
         lives in prop::collection::vec(1_u64..20, 1..6),
         seed in any::<u64>(),
     ) {
         let base = UnixMillis::now();
-        let moment = |millis| Timestamp { monotonic: Instant::now(), unix: UnixMillis(base.0 + millis) };
+        let timestamp = |millis| Timestamp {
+            monotonic: Instant::now(),
+            unix: UnixMillis(base.0 + millis),
+        };
         let mut other = lives.clone();
-        other.sort_by_key(|life| life.wrapping_mul(seed | 1));
+        other.sort_by_key(|incarnation| incarnation.wrapping_mul(seed | 1));
         let newest = *lives.iter().max().unwrap();
         for lives in [&lives, &other] {
             let mut leader = ListRegistry::default();
-            leader.apply_listing(Term(1), vec![server(false)], moment(0));
-            for life in lives {
-                leader.apply_incarnation(&told(Incarnation(base.0 + life * 2_000)), moment(50_000));
+            leader.apply_listing(Term(1), vec![server(false)], timestamp(0));
+            for incarnation in lives {
+                let report = incarnation_report(Incarnation(base.0 + incarnation * 2_000));
+                leader.apply_incarnation(&report, timestamp(50_000));
             }
-            leader.rebuild(Term(1), moment(50_000));
+            leader.rebuild(Term(1), timestamp(50_000));
             let keys: Vec<_> = leader.keys().collect();
             prop_assert_eq!(keys, [key(Incarnation(base.0 + newest * 2_000))]);
         }
     }
 
-    /// The pooled load of a server is the newest that its latest life told, in whatever order words come.
+    /// The pooled load of a server is the newest load of its latest incarnation, in whatever order
+    /// reports arrive.
     #[test]
     fn pooled_load_is_of_the_latest_life(
-        words in prop::collection::vec((0_u64..3, 0_u64..1_000, 0_u32..40), 1..12),
+        messages in prop::collection::vec((0_u64..3, 0_u64..1_000, 0_u32..40), 1..12),
         random in 0.0..1.0_f64,
     ) {
         let now = Instant::now() + Duration::from_secs(10);
         let mut pool = LoadPool::default();
-        for (life, age, requests) in &words {
-            let (life, age) = (Incarnation(*life), Millis(*age));
-            let told = LoadSample { server: server(false).id, incarnation: life, requests: *requests, age };
-            pool.record_samples(vec![told], now);
+        for (incarnation, age, requests) in &messages {
+            let (incarnation, age) = (Incarnation(*incarnation), Millis(*age));
+            let sample = LoadSample { server: server(false).id, incarnation, requests: *requests, age };
+            pool.record_samples(vec![sample], now);
         }
-        let best = words.iter().map(|(life, age, _)| (*life, 1_000 - age)).max().unwrap();
+        let key = |(incarnation, age, _): &(u64, u64, u32)| (*incarnation, 1_000 - age);
+        let best = messages.iter().map(key).max().unwrap();
         let drawn = pool.sample(&[&server(false).id], now, random);
         prop_assert_eq!((drawn[0].incarnation.0, 1_000 - drawn[0].age.0), best);
     }
@@ -228,89 +237,90 @@
 
 #[test]
 fn first_life_told_is_the_one_that_is_known() {
-    let book = ServerTable::default();
-    take(&book, 1, server(true), NONE);
-    let before = known(&book);
+    let table = ServerTable::default();
+    apply_list(&table, 1, server(true), NONE);
+    let before = known(&table);
     while !before.state.fail() {}
-    assert_eq!(book.apply_incarnation(&before, former()), IncarnationUpdate::Identified);
-    let after = known(&book);
+    assert_eq!(table.apply_incarnation(&before, former()), IncarnationUpdate::Identified);
+    let after = known(&table);
     assert!(Arc::ptr_eq(&before.state, &after.state));
     assert!(!after.is_open() && after.state.is_ejected() && !after.state.is_over());
 }
 
 #[test]
 fn first_life_told_that_began_since_is_another() {
-    let book = ServerTable::default();
-    take(&book, 1, server(true), NONE);
-    let before = known(&book);
-    assert_eq!(book.apply_incarnation(&before, later()), IncarnationUpdate::Restarted);
-    assert!(known(&book).is_open() && before.state.is_over());
+    let table = ServerTable::default();
+    apply_list(&table, 1, server(true), NONE);
+    let before = known(&table);
+    assert_eq!(table.apply_incarnation(&before, later()), IncarnationUpdate::Restarted);
+    assert!(known(&table).is_open() && before.state.is_over());
 }
 
 #[test]
 fn life_that_no_server_can_be_in_is_not_believed() {
-    let mut life = ServerIncarnation::first_seen_at(UnixMillis(1_000));
-    let heard = life.update(Incarnation(u64::MAX), IncarnationSource::Server, UnixMillis(1_000));
-    assert_eq!((heard, life.id()), (IncarnationUpdate::Rejected, NONE));
+    let mut incarnation = ServerIncarnation::first_seen_at(UnixMillis(1_000));
+    let update =
+        incarnation.update(Incarnation(u64::MAX), IncarnationSource::Server, UnixMillis(1_000));
+    assert_eq!((update, incarnation.id()), (IncarnationUpdate::Rejected, NONE));
 }
 
 #[test]
 fn report_of_an_earlier_life_that_arrives_late_changes_nothing() {
     let (earlier, later) = (former(), later());
-    let hearer = Hearer::new(earlier);
-    let asked = hearer.first.clone();
-    hearer.book.apply_incarnation(&asked, later);
+    let test_box = TestBox::new(earlier);
+    let asked = test_box.first.clone();
+    test_box.table.apply_incarnation(&asked, later);
     assert_eq!(
-        hearer.book.apply_report(&asked, &report(earlier, 8, true)),
+        test_box.table.apply_report(&asked, &report(earlier, 8, true)),
         IncarnationUpdate::Outdated
     );
-    assert_eq!(hearer.sees(), (later, true, false, false, None));
-    // One that names no life is of the life that was asked.
-    hearer.book.apply_report(&asked, &report(NONE, 8, true));
-    assert_eq!(hearer.sees(), (later, true, false, false, None));
+    assert_eq!(test_box.snapshot(), (later, true, false, false, None));
+    // A report that names no incarnation belongs to the one that was asked.
+    test_box.table.apply_report(&asked, &report(NONE, 8, true));
+    assert_eq!(test_box.snapshot(), (later, true, false, false, None));
 }
 
 #[test]
 fn servers_own_word_counts_against_a_notice_that_the_list_no_longer_shows() {
-    let book = ServerTable::default();
-    take(&book, 1, server(true), NONE);
-    book.apply_report(&known(&book), &report(former(), 0, false));
-    assert!(!known(&book).is_open(), "the list still shows it leaving");
-    take(&book, 2, server(false), NONE);
-    book.apply_report(&known(&book), &report(former(), 0, false));
-    assert!(known(&book).is_open());
+    let table = ServerTable::default();
+    apply_list(&table, 1, server(true), NONE);
+    table.apply_report(&known(&table), &report(former(), 0, false));
+    assert!(!known(&table).is_open(), "the list still shows it leaving");
+    apply_list(&table, 2, server(false), NONE);
+    table.apply_report(&known(&table), &report(former(), 0, false));
+    assert!(known(&table).is_open());
 }
 
 #[test]
 fn box_tells_the_lives_that_the_leaders_list_does_not_show() {
     let (earlier, later) = (former(), later());
-    let hearer = Hearer::new(earlier);
-    assert_eq!(hearer.book.unreported_incarnations(), [told(earlier)]);
-    take(&hearer.book, 2, server(false), earlier);
-    assert!(hearer.book.unreported_incarnations().is_empty());
-    hearer.book.apply_incarnation(&hearer.first, later);
-    assert_eq!(hearer.book.unreported_incarnations(), [told(later)]);
-    take(&hearer.book, 3, server(false), later);
-    assert!(hearer.book.unreported_incarnations().is_empty());
-    // Another leader knows of none.
-    take(&hearer.book, 4, server(false), NONE);
-    assert_eq!(hearer.book.unreported_incarnations(), [told(later)]);
+    let test_box = TestBox::new(earlier);
+    assert_eq!(test_box.table.unreported_incarnations(), [incarnation_report(earlier)]);
+    apply_list(&test_box.table, 2, server(false), earlier);
+    assert!(test_box.table.unreported_incarnations().is_empty());
+    test_box.table.apply_incarnation(&test_box.first, later);
+    assert_eq!(test_box.table.unreported_incarnations(), [incarnation_report(later)]);
+    apply_list(&test_box.table, 3, server(false), later);
+    assert!(test_box.table.unreported_incarnations().is_empty());
+    // Another leader knows no incarnation.
+    apply_list(&test_box.table, 4, server(false), NONE);
+    assert_eq!(test_box.table.unreported_incarnations(), [incarnation_report(later)]);
 }
 
 #[test]
 fn words_of_a_leader_that_knows_no_lives_are_not_of_a_new_one() {
     let later = later();
-    let mut hearer = Hearer::new(former());
-    hearer.hear(later, Word::Report(0, false));
-    hearer.hear(NONE, Word::List(true));
-    hearer.hear(NONE, Word::Load(9));
-    assert_eq!(hearer.sees(), (later, true, false, false, Some(0)));
-    // Once it knows the life, its notice is of it.
-    hearer.hear(later, Word::List(true));
-    assert!(!known(&hearer.book).is_open());
+    let mut test_box = TestBox::new(former());
+    test_box.receive(later, Message::Report(0, false));
+    test_box.receive(NONE, Message::List(true));
+    test_box.receive(NONE, Message::Load(9));
+    assert_eq!(test_box.snapshot(), (later, true, false, false, Some(0)));
+    // Once it knows the incarnation, its notice applies to it.
+    test_box.receive(later, Message::List(true));
+    assert!(!known(&test_box.table).is_open());
 }
 
-/// What a leader tells of the server: its life, and whether it is leaving.
+/// What a leader announces about the server: its incarnation, and whether it is leaving.
 fn shown(leader: &mut ListRegistry) -> (Incarnation, bool) {
     let index = leader.index(&"box".parse().unwrap());
     let parts: Vec<_> = index.parts.iter().map(|(part, _)| part.clone()).collect();
@@ -319,47 +329,47 @@
     (listed.incarnation, listed.server.leaving)
 }
 
-/// A notice that the list shows when a server has just started again is of the former life, unless the list
-/// goes on showing it.
+/// A notice that the list shows when a server has just restarted belongs to the former incarnation,
+/// unless the list goes on showing it.
 #[test]
 fn notice_is_of_a_new_life_only_if_the_list_goes_on_showing_it() {
     let start = Instant::now();
     let base = UnixMillis::now();
-    let moment = |millis: u64| Timestamp {
+    let timestamp = |millis: u64| Timestamp {
         monotonic: start + Duration::from_millis(millis),
         unix: UnixMillis(base.0 + millis),
     };
     let lag = LIST_LAG.as_millis() as u64;
     let began = Incarnation(base.0 + 10_000);
     let mut leader = ListRegistry::default();
-    leader.apply_listing(Term(1), vec![server(true)], moment(0));
+    leader.apply_listing(Term(1), vec![server(true)], timestamp(0));
     assert_eq!(shown(&mut leader), (NONE, true));
-    leader.apply_incarnation(&told(began), moment(10_500));
-    leader.apply_listing(Term(1), vec![server(true)], moment(10_600));
+    leader.apply_incarnation(&incarnation_report(began), timestamp(10_500));
+    leader.apply_listing(Term(1), vec![server(true)], timestamp(10_600));
     assert_eq!(shown(&mut leader), (began, false));
     let mut other = ListRegistry::default();
-    other.apply_listing(Term(2), vec![server(true)], moment(10_000 + lag - 1));
-    other.apply_incarnation(&told(began), moment(10_000 + lag - 1));
-    other.rebuild(Term(2), moment(10_000 + lag - 1));
+    other.apply_listing(Term(2), vec![server(true)], timestamp(10_000 + lag - 1));
+    other.apply_incarnation(&incarnation_report(began), timestamp(10_000 + lag - 1));
+    other.rebuild(Term(2), timestamp(10_000 + lag - 1));
     assert_eq!(shown(&mut other), (began, false), "a new leader");
     for leader in [&mut leader, &mut other] {
-        leader.apply_listing(Term(2), vec![server(true)], moment(10_000 + lag));
+        leader.apply_listing(Term(2), vec![server(true)], timestamp(10_000 + lag));
         assert_eq!(shown(leader), (began, true));
     }
 }
 
-/// A leader whose clock is behind holds a notice back no longer than the list lags.
+/// A leader whose clock is behind delays a notice no longer than the list lags.
 #[test]
 fn clock_that_is_behind_holds_no_notice_back_for_long() {
     let (start, base) = (Instant::now(), UnixMillis::now());
-    let moment = |time: Duration| Timestamp {
+    let timestamp = |time: Duration| Timestamp {
         monotonic: start + time,
         unix: UnixMillis(base.0 - 3_600_000),
     };
     let mut leader = ListRegistry::default();
-    leader.apply_listing(Term(1), vec![server(false)], moment(Duration::ZERO));
-    leader.apply_incarnation(&told(Incarnation(base.0)), moment(Duration::ZERO));
-    leader.apply_listing(Term(1), vec![server(true)], moment(LIST_LAG));
+    leader.apply_listing(Term(1), vec![server(false)], timestamp(Duration::ZERO));
+    leader.apply_incarnation(&incarnation_report(Incarnation(base.0)), timestamp(Duration::ZERO));
+    leader.apply_listing(Term(1), vec![server(true)], timestamp(LIST_LAG));
     assert_eq!(shown(&mut leader), (Incarnation(base.0), true));
 }
 
@@ -367,66 +377,69 @@
 fn word_from_another_address_is_of_another_life() {
     let mut leader = ListRegistry::default();
     leader.apply_listing(Term(1), vec![server(false)], Instant::now());
-    leader.apply_incarnation(&told(former()), Instant::now());
+    leader.apply_incarnation(&incarnation_report(former()), Instant::now());
     let moved = Server { addr: addr(2), ..server(false) };
     leader.apply_listing(Term(1), vec![moved.clone()], Instant::now());
     assert_eq!(
-        leader.apply_incarnation(&told(former()), Instant::now()),
+        leader.apply_incarnation(&incarnation_report(former()), Instant::now()),
         IncarnationUpdate::Outdated
     );
     assert_eq!(shown(&mut leader), (NONE, false));
     let mut new = ListRegistry::default();
     new.apply_listing(Term(2), vec![moved.clone()], Instant::now());
-    assert_eq!(new.apply_incarnation(&told(former()), Instant::now()), IncarnationUpdate::Outdated);
+    assert_eq!(
+        new.apply_incarnation(&incarnation_report(former()), Instant::now()),
+        IncarnationUpdate::Outdated
+    );
     new.rebuild(Term(2), Instant::now());
     assert_eq!(shown(&mut new), (NONE, false));
-    let book = ServerTable::default();
-    take(&book, 1, server(true), former());
-    take(&book, 2, moved, NONE);
-    assert!(known(&book).is_open());
+    let table = ServerTable::default();
+    apply_list(&table, 1, server(true), former());
+    apply_list(&table, 2, moved, NONE);
+    assert!(known(&table).is_open());
 }
 
 #[test]
 fn doubted_server_is_asked_once_in_a_while_and_not_for_ever() {
-    let (mut doubts, start) = (RestartCheckQueue::default(), Instant::now());
+    let (mut checks, start) = (RestartCheckQueue::default(), Instant::now());
     let id: BackendId = server(false).id;
-    assert!(doubts.request(&id, start, 0.0) && !doubts.request(&id, start, 0.0));
+    assert!(checks.request(&id, start, 0.0) && !checks.request(&id, start, 0.0));
     let mut asked = Vec::new();
     for step in 0..3_000 {
         let now = start + Duration::from_millis(100 * step);
-        if !doubts.take_due(now).is_empty() {
+        if !checks.take_due(now).is_empty() {
             asked.push(now);
         }
     }
     assert!(asked.windows(2).all(|pair| pair[1] - pair[0] >= Duration::from_secs(1)));
-    assert_eq!((asked.len(), doubts.next_due()), (8, None));
-    assert!(doubts.request(&id, start + Duration::from_secs(300), 0.0));
-    doubts.resolve(&id);
-    assert_eq!(doubts.next_due(), None);
+    assert_eq!((asked.len(), checks.next_due()), (8, None));
+    assert!(checks.request(&id, start + Duration::from_secs(300), 0.0));
+    checks.resolve(&id);
+    assert_eq!(checks.next_due(), None);
 }
 
 #[test]
 fn server_that_tells_no_life_is_rarely_asked() {
-    let (mut doubts, start) = (RestartCheckQueue::default(), Instant::now());
+    let (mut checks, start) = (RestartCheckQueue::default(), Instant::now());
     let id: BackendId = server(false).id;
-    doubts.request(&id, start, 0.0);
-    assert_eq!(doubts.take_due(start), std::slice::from_ref(&id));
-    doubts.resolve_unknown(&id, start);
-    doubts.request(&id, start, 0.0);
-    assert_eq!(doubts.next_due(), Some(start + Duration::from_secs(30)));
+    checks.request(&id, start, 0.0);
+    assert_eq!(checks.take_due(start), std::slice::from_ref(&id));
+    checks.resolve_unknown(&id, start);
+    checks.request(&id, start, 0.0);
+    assert_eq!(checks.next_due(), Some(start + Duration::from_secs(30)));
 }
 
 #[test]
 fn leaders_last_loads_name_no_life_that_is_over() {
-    let mut hearer = Hearer::new(former());
-    let (load, service) = (Word::Load(3), "svc".parse().unwrap());
-    hearer.hear(hearer.first.incarnation(), load);
-    assert_eq!(hearer.book.with_recent_loads(&service).all.len(), 1);
-    hearer.hear(later(), Word::List(false));
-    assert!(hearer.book.with_recent_loads(&service).all.is_empty());
-    hearer.hear(hearer.sees().0, load);
-    hearer.book.apply_incarnation(&known(&hearer.book), Incarnation(later().0 + 5_000));
-    assert!(hearer.book.with_recent_loads(&service).all.is_empty());
+    let mut test_box = TestBox::new(former());
+    let (load, service) = (Message::Load(3), "svc".parse().unwrap());
+    test_box.receive(test_box.first.incarnation(), load);
+    assert_eq!(test_box.table.with_recent_loads(&service).all.len(), 1);
+    test_box.receive(later(), Message::List(false));
+    assert!(test_box.table.with_recent_loads(&service).all.is_empty());
+    test_box.receive(test_box.snapshot().0, load);
+    test_box.table.apply_incarnation(&known(&test_box.table), Incarnation(later().0 + 5_000));
+    assert!(test_box.table.with_recent_loads(&service).all.is_empty());
 }
 
 fn listed(server: &StandIn, leaving: bool) -> Server {
@@ -446,7 +459,7 @@
     assert!(before.state.is_ejected());
     let addr = first.kill().await;
     let again = StandIn::start_at("i-1", addr, Tells::Life(later), &[Act::Answer]).await;
-    // What a connection that breaks, or is refused, does.
+    // The effect of a connection that breaks or is refused.
     relay.relay.servers.mark_suspect(&before);
     let after = relay.wait_life("i-1", later).await;
     assert!(after.is_open() && !after.state.is_ejected());
@@ -490,7 +503,7 @@
     assert_eq!(again.seen().len(), 1);
 }
 
-/// A caller of a stream, who has its first events.
+/// Starts a caller of a stream and waits until it has received the first events.
 async fn caller_with_events(relay: &TestRelay, route: &str, headers: &str) -> (TcpStream, Vec<u8>) {
     let mut stream = TcpStream::connect(relay.addr).await.unwrap();
     let text = format!(
@@ -505,14 +518,15 @@
     (stream, had)
 }
 
-/// The rest of that caller's answer.
+/// Reads the rest of that caller's answer.
 async fn rest((mut stream, mut had): (TcpStream, Vec<u8>)) -> Reply {
     let reading = stream.read_to_end(&mut had);
     let _ = tokio::time::timeout(PATIENCE, reading).await.expect("no end in time");
     Reply::parse(&String::from_utf8_lossy(&had))
 }
 
-/// Behind a cut nothing breaks: the word of the later life is all there is.
+/// Where packets are dropped no connection breaks: the report of the later incarnation is the only
+/// sign.
 #[tokio::test]
 async fn stream_of_a_life_that_is_over_goes_on_elsewhere() {
     let first = StandIn::start("i-1", &[Act::UntilMoved(2)]).await;
@@ -571,7 +585,7 @@
     assert_eq!((first.seen().len(), second.seen().len(), again.seen().len()), (1, 1, 1));
 }
 
-/// The source of a move has started again: it knows no run, and says in which life it is.
+/// The source of a move has restarted: it does not know the run, and reports its incarnation.
 #[tokio::test]
 async fn stream_whose_server_starts_again_in_mid_move_goes_on_elsewhere() {
     let (earlier, later) = (former().0, later().0);
@@ -592,39 +606,42 @@
     assert!(known.is_open());
 }
 
-/// Two boxes hear of two lives in opposite order, by the leader's list and by the server itself.
+/// Two boxes learn of two incarnations in opposite order, from the leader's list and from the
+/// server itself.
 #[test]
 fn two_boxes_that_hear_of_lives_in_opposite_order_know_the_same() {
     let (earlier, later) = (former(), later());
-    let (mut one, mut other) = (Hearer::new(NONE), Hearer::new(NONE));
-    one.hear(earlier, Word::List(true));
-    one.hear(later, Word::Report(3, false));
-    other.hear(later, Word::Report(3, false));
-    other.hear(earlier, Word::List(true));
-    assert_eq!(one.sees(), other.sees());
-    assert_eq!(one.sees(), (later, true, false, false, Some(3)));
+    let (mut one, mut other) = (TestBox::new(NONE), TestBox::new(NONE));
+    one.receive(earlier, Message::List(true));
+    one.receive(later, Message::Report(3, false));
+    other.receive(later, Message::Report(3, false));
+    other.receive(earlier, Message::List(true));
+    assert_eq!(one.snapshot(), other.snapshot());
+    assert_eq!(one.snapshot(), (later, true, false, false, Some(3)));
     let service: ServiceName = "svc".parse().unwrap();
-    assert_eq!(one.book.for_service(&service)[0].incarnation(), later);
+    assert_eq!(one.table.for_service(&service)[0].incarnation(), later);
 }
 
-/// Has a box take a list without any server.
-fn take_none(book: &ServerTable, place: u64) {
+/// Applies a list without any server.
+fn apply_empty_list(table: &ServerTable, place: u64) {
     let version = ListVersion { term: Term(1), sequence: place };
-    book.apply_index(ListIndex::new(version, Vec::new()));
+    table.apply_index(ListIndex::new(version, Vec::new()));
 }
 
 #[test]
 fn server_that_is_back_in_a_boxs_part_of_the_list_is_asked_only_if_its_life_may_be_another() {
-    let life = former();
-    // Nobody ever named its life; the list names the one that is known; the list names none any more.
-    for (listed, named, asks) in [(NONE, false, false), (life, true, false), (NONE, true, true)] {
-        let book = ServerTable::default();
-        take(&book, 1, server(false), listed);
+    let incarnation = former();
+    // Its incarnation was never named; the list names the known one; the list no longer names one.
+    for (listed, named, asks) in
+        [(NONE, false, false), (incarnation, true, false), (NONE, true, true)]
+    {
+        let table = ServerTable::default();
+        apply_list(&table, 1, server(false), listed);
         if named {
-            book.apply_incarnation(&known(&book), life);
+            table.apply_incarnation(&known(&table), incarnation);
         }
-        take_none(&book, 2);
-        take(&book, 3, server(false), listed);
-        assert_eq!(book.has_suspects(), asks, "listed as {listed}, named {named}");
+        apply_empty_list(&table, 2);
+        apply_list(&table, 3, server(false), listed);
+        assert_eq!(table.has_suspects(), asks, "listed as {listed}, named {named}");
     }
 }
