--- a/src/decide/lives.rs
+++ b/src/decide/lives.rs
@@ -202,11 +202,11 @@
     /// one is already pending. `random` is a random number from 0 to 1.
     pub fn request(&mut self, server: &BackendId, now: Instant, random: f64) -> bool {
         let soon = now + MAX_START_DELAY.mul_f64(random);
-        let held = self.checks.get(server);
-        if held.is_some_and(|check| check.is_pending) {
+        let known = self.checks.get(server);
+        if known.is_some_and(|check| check.is_pending) {
             return false;
         }
-        let not_before = held.and_then(|check| check.not_before);
+        let not_before = known.and_then(|check| check.not_before);
         let next_at = not_before.map_or(soon, |not_before| soon.max(not_before));
         self.checks.insert(
             server.clone(),
--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -122,8 +122,8 @@
     }
 
     fn contains(&self, request: &Fingerprint, now: Instant) -> bool {
-        let held = self.slots[Self::slot(request)];
-        held.is_some_and(|(it, at)| it == *request && at + ANSWERED_TIME > now)
+        let entry = self.slots[Self::slot(request)];
+        entry.is_some_and(|(it, at)| it == *request && at + ANSWERED_TIME > now)
     }
 }
 
@@ -272,7 +272,7 @@
     /// The quarantine as replicated by the group; `None` until it is known.
     replicated: Option<Arc<QuarantineBook>>,
     /// What was quarantined at the last evaluation.
-    reported: BTreeSet<Fingerprint>,
+    last_evaluated: BTreeSet<Fingerprint>,
     /// The version of the last update for boxes, and the requests in it.
     announced: Option<(u64, BTreeSet<Fingerprint>)>,
 }
@@ -351,9 +351,9 @@
             (self.is_dirty, self.evaluated_at) = (false, Some(now));
             self.evaluate_crashes(unix);
         }
-        let held: BTreeSet<_> = self.quarantined.keys().copied().collect();
-        let delta = QuarantineDelta::between(&self.reported, &held);
-        self.reported = held;
+        let quarantined: BTreeSet<_> = self.quarantined.keys().copied().collect();
+        let delta = QuarantineDelta::between(&self.last_evaluated, &quarantined);
+        self.last_evaluated = quarantined;
         delta
     }
 
--- a/src/decide/releases.rs
+++ b/src/decide/releases.rs
@@ -204,11 +204,11 @@
                 releases.trial = None;
                 continue;
             };
-            let held = releases.trial.take().filter(|trial| trial.ordered == grant.ordered);
+            let known = releases.trial.take().filter(|trial| trial.ordered == grant.ordered);
             // The first update of a roll-out starts the request count. Permits come with the reply
             // to the next report.
-            let is_new = held.is_none();
-            let mut trial = held.unwrap_or_default();
+            let is_new = known.is_none();
+            let mut trial = known.unwrap_or_default();
             trial.ordered = grant.ordered;
             trial.release = Some(grant.release);
             trial.all_traffic = grant.all_traffic;
--- a/src/decide/verdict.rs
+++ b/src/decide/verdict.rs
@@ -21,7 +21,7 @@
 
 /// By how much the failure rate of a bad release exceeds that of the former one. A release that
 /// fails one answer in five is detected after about a dozen answers. Ordinary faulty servers (one
-/// server in seven, each failing half of its requests) stay below a third of this rate.
+/// server in seven, each failing half of its requests) reach about a third of this rate.
 const FAILURE_RATE_INCREASE: f64 = 0.2;
 
 /// Lower bound on the assumed failure rate of the former release. Without it, a single failure
