--- a/tests/engine.rs
+++ b/tests/engine.rs
@@ -1,4 +1,4 @@
-//! Engines learned from what their answers show: drawn over two orders of magnitude of speed.
+//! Tests the learned engine model with simulated engines whose speed varies over two orders of magnitude.
 
 use emberturn::decide::engine::{EngineLearner, EngineModel, Observation};
 use emberturn::ids::ServiceName;
@@ -11,23 +11,23 @@
 struct Engine {
     rate: f64,
     base: f64,
-    /// Chance that a request meets others, and how long it then waits, in mean prompts.
-    busy: f64,
-    crowd: f64,
-    /// Chance that an answer comes seconds late for another reason.
-    grey: f64,
+    /// The probability that a request has to queue, and its mean wait then, in mean prompts.
+    queue_probability: f64,
+    mean_wait: f64,
+    /// The probability that an answer is seconds late for another reason.
+    failure_probability: f64,
 }
 
 const SIZES: [f64; 3] = [700.0, 2_400.0, 12_000.0];
 
-fn seen(engine: &Engine, rng: &mut SmallRng) -> Observation {
+fn observation(engine: &Engine, rng: &mut SmallRng) -> Observation {
     let tokens = SIZES[rng.random_range(0..SIZES.len())] * rng.random_range(0.5..1.5);
     let mut seconds = engine.base + tokens / engine.rate;
-    if rng.random_bool(engine.busy) {
+    if rng.random_bool(engine.queue_probability) {
         let wait: f64 = -(1.0 - rng.random::<f64>()).ln();
-        seconds += wait * engine.crowd * 5_000.0 / engine.rate;
+        seconds += wait * engine.mean_wait * 5_000.0 / engine.rate;
     }
-    if rng.random_bool(engine.grey) {
+    if rng.random_bool(engine.failure_probability) {
         seconds += rng.random_range(1.0..4.0);
     }
     Observation { tokens, unshared_tokens: tokens, seconds, is_clear: true }
@@ -37,7 +37,7 @@
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut learner = EngineLearner::default();
     for _ in 0..count {
-        learner.record_first_event(seen(engine, &mut rng));
+        learner.record_first_event(observation(engine, &mut rng));
     }
     learner.model()
 }
@@ -46,11 +46,11 @@
     fn engines()(
         rate in (8.0..13.0_f64).prop_map(f64::exp),
         base in 0.001..0.08_f64,
-        busy in 0.0..0.6_f64,
-        crowd in 0.1..2.0_f64,
-        grey in 0.0..0.1_f64,
+        queue_probability in 0.0..0.6_f64,
+        mean_wait in 0.1..2.0_f64,
+        failure_probability in 0.0..0.1_f64,
     ) -> Engine {
-        Engine { rate, base, busy, crowd, grey }
+        Engine { rate, base, queue_probability, mean_wait, failure_probability }
     }
 }
 
@@ -61,7 +61,8 @@
     fn rate_is_learned_within_15_percent(engine in engines(), seed in any::<u64>()) {
         let model = learn(&engine, 300, seed);
         prop_assert!(model.is_learned());
-        // A fast engine behind a long fixed time shows its rate within that time's spread only.
+        // For a fast engine with a long fixed time, the rate is only known to within the spread of that
+        // time.
         let slack = 1.15_f64;
         prop_assert!(model.rate < engine.rate * slack && model.rate > engine.rate / slack,
             "{} learned, {} true", model.rate, engine.rate);
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn shared_parts_that_are_often_cached_do_not_hide_the_rate() {
+fn cached_shared_prefixes_do_not_bias_the_rate() {
     let mut rng = SmallRng::seed_from_u64(2);
     let mut learner = EngineLearner::default();
     for _ in 0..400 {
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn prompts_of_one_size_still_give_a_rate() {
+fn prompts_of_one_size_suffice_for_a_rate() {
     let mut learner = EngineLearner::default();
     for _ in 0..100 {
         learner.record_first_event(Observation {
@@ -112,14 +113,20 @@
 }
 
 #[test]
-fn change_of_the_engines_is_followed() {
-    let slow = Engine { rate: 20_000.0, base: 0.01, busy: 0.3, crowd: 0.5, grey: 0.02 };
+fn change_of_the_engine_speed_is_learned() {
+    let slow = Engine {
+        rate: 20_000.0,
+        base: 0.01,
+        queue_probability: 0.3,
+        mean_wait: 0.5,
+        failure_probability: 0.02,
+    };
     let fast = Engine { rate: 100_000.0, ..slow.clone() };
     let mut rng = SmallRng::seed_from_u64(1);
     let mut learner = EngineLearner::default();
     for engine in [&slow, &fast] {
         for _ in 0..300 {
-            learner.record_first_event(seen(engine, &mut rng));
+            learner.record_first_event(observation(engine, &mut rng));
         }
     }
     let rate = learner.model().rate;
@@ -127,17 +134,23 @@
 }
 
 #[test]
-fn wait_is_what_lies_above_the_line() {
-    let idle = Engine { rate: 50_000.0, base: 0.02, busy: 0.0, crowd: 0.0, grey: 0.0 };
-    let crowded = Engine { busy: 0.5, crowd: 2.0, ..idle.clone() };
+fn queueing_delay_is_the_time_above_the_fitted_line() {
+    let idle = Engine {
+        rate: 50_000.0,
+        base: 0.02,
+        queue_probability: 0.0,
+        mean_wait: 0.0,
+        failure_probability: 0.0,
+    };
+    let crowded = Engine { queue_probability: 0.5, mean_wait: 2.0, ..idle.clone() };
     let waits = [&idle, &crowded].map(|engine| learn(engine, 600, 3).wait);
     assert!(waits[0] < 0.005, "{waits:?}");
-    // Half of the requests wait for 0.2 s at the mean.
+    // Half of the requests wait for 0.2 s on average.
     assert!((0.05..0.2).contains(&waits[1]), "{waits:?}");
 }
 
 #[test]
-fn boxes_are_pooled_by_what_they_have_seen() {
+fn models_are_pooled_by_their_observations() {
     let of = |rate, weight| EngineModel { rate, weight, ..EngineModel::default() };
     let pooled = EngineModel::pool([of(100.0, 90.0), of(50.0, 10.0), of(1.0, 0.0)].iter());
     assert!((90.0..=92.0).contains(&pooled.rate), "{pooled:?}");
@@ -146,22 +159,28 @@
 }
 
 #[test]
-fn many_boxes_with_two_requests_each_teach_what_one_busy_box_learns() {
-    let engine = Engine { rate: 64_200.0, base: 0.005, busy: 0.3, crowd: 0.5, grey: 0.02 };
+fn samples_of_many_relays_teach_as_much_as_one_busy_relay() {
+    let engine = Engine {
+        rate: 64_200.0,
+        base: 0.005,
+        queue_probability: 0.3,
+        mean_wait: 0.5,
+        failure_probability: 0.02,
+    };
     let service: ServiceName = "svc".parse().unwrap();
     let (mut rng, mut pooled) = (SmallRng::seed_from_u64(11), EngineLearner::default());
     for _ in 0..500 {
-        let mut book = EngineTracker::default();
+        let mut tracker = EngineTracker::default();
         for _ in 0..2 {
-            book.record_observation(&service, seen(&engine, &mut rng));
-            book.record_served(&service, false);
-            book.record_stream(&service, 20, 100, 0.3);
+            tracker.record_observation(&service, observation(&engine, &mut rng));
+            tracker.record_served(&service, false);
+            tracker.record_stream(&service, 20, 100, 0.3);
         }
-        assert!(book.learned().is_empty());
-        let samples = book.take_samples();
+        assert!(tracker.learned().is_empty());
+        let samples = tracker.take_samples();
         samples[&service].iter().for_each(|sample| pooled.record(*sample));
         // Each sample is reported once.
-        assert!(book.take_samples().is_empty());
+        assert!(tracker.take_samples().is_empty());
     }
     let model = pooled.model();
     assert!(model.is_learned() && (model.rate / engine.rate - 1.0).abs() < 0.15, "{model:?}");
@@ -169,17 +188,23 @@
 }
 
 #[test]
-fn box_with_a_fit_of_its_own_reports_no_samples() {
-    let engine = Engine { rate: 64_200.0, base: 0.005, busy: 0.0, crowd: 0.5, grey: 0.0 };
+fn relay_with_its_own_fit_reports_no_samples() {
+    let engine = Engine {
+        rate: 64_200.0,
+        base: 0.005,
+        queue_probability: 0.0,
+        mean_wait: 0.5,
+        failure_probability: 0.0,
+    };
     let service: ServiceName = "svc".parse().unwrap();
-    let (mut rng, mut book) = (SmallRng::seed_from_u64(3), EngineTracker::default());
-    (0..100).for_each(|_| book.record_observation(&service, seen(&engine, &mut rng)));
-    assert!(book.learned()[&service].is_learned());
-    assert!(book.take_samples().is_empty());
+    let (mut rng, mut tracker) = (SmallRng::seed_from_u64(3), EngineTracker::default());
+    (0..100).for_each(|_| tracker.record_observation(&service, observation(&engine, &mut rng)));
+    assert!(tracker.learned()[&service].is_learned());
+    assert!(tracker.take_samples().is_empty());
 }
 
 #[test]
-fn fit_of_samples_stands_until_the_boxes_own_fits_weigh_as_much() {
+fn leaders_fit_is_used_until_the_relays_fits_outweigh_it() {
     let model = |rate, weight| EngineModel { rate, weight, ..EngineModel::default() };
     let (own, box_fit) = (model(20_000.0, 256.0), model(60_000.0, 128.0));
     assert_eq!(EngineModel::pool_with([].iter(), Some(&own)).rate, 20_000.0);
--- a/tests/markets.rs
+++ b/tests/markets.rs
@@ -1,5 +1,5 @@
-//! Dry spells drawn in virtual time: what engines on demand and late requests cost together, by how they are
-//! ordered, against an oracle that knows the spells.
+//! Simulates spot markets in virtual time and compares strategies for ordering on-demand engines by the
+//! total cost of engines and late requests, relative to an oracle that knows all outages.
 
 use emberturn::decide::absence::SpotStatus;
 use emberturn::decide::capacity::{Market, OutageStats, ServiceLoad};
@@ -8,17 +8,17 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-const PLACES: usize = 4;
+const DATA_CENTRES: usize = 4;
 
-/// Reclaimable engines in each data centre: the loss of one leaves more than what is needed.
+/// Spot engines per data centre. The loss of one data centre leaves more than are needed.
 const SPOTS: u32 = 7;
 
-/// Seconds of a step, by which the list lags, and between two orders for what was refused.
+/// Seconds per simulation step, the lag of the list, and the time between a refused order and the next one.
 const STEP: f64 = 0.5;
 const LAG: f64 = 1.0;
-const AGAIN: f64 = 3.0;
+const RETRY_INTERVAL: f64 = 3.0;
 
-/// A load that 12 engines or so are worth their price for.
+/// A load that justifies about 12 engines.
 const LOAD: ServiceLoad = ServiceLoad {
     requests: 300.0,
     prefill_load: 6.0,
@@ -33,34 +33,34 @@
 enum Kind {
     Never,
     Alone,
-    Rows,
+    Series,
     FarApart,
     Mixed,
 }
 
-/// How engines on demand are ordered.
+/// A strategy for ordering on-demand engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Way {
-    /// By what may be lost before they serve.
-    Foreseen,
-    /// By what is left.
-    LastNotice,
-    /// As if nothing were left, once anything has notice.
+enum Strategy {
+    /// By the forecast of losses until the engines serve.
+    Forecast,
+    /// By the spot engines that remain.
+    Remaining,
+    /// As if no spot engines remained, as soon as any are under notice.
     FirstNotice,
-    /// By what is left, and never fewer than so many.
+    /// By the spot engines that remain, with a fixed minimum.
     Reserve(u32),
 }
 
-/// One data centre has no reclaimable engines from `from` to `to`.
+/// An outage: one data centre has no spot engines from `from` to `to`.
 #[derive(Debug, Clone, Copy)]
-struct Spell {
-    place: usize,
+struct Outage {
+    data_centre: usize,
     from: f64,
     to: f64,
 }
 
 struct World {
-    spells: Vec<Spell>,
+    outages: Vec<Outage>,
     notice: f64,
     boot: f64,
     until: f64,
@@ -75,25 +75,25 @@
             Kind::FarApart => 700.0,
             _ => 90.0,
         };
-        let mut spells = Vec::new();
+        let mut outages = Vec::new();
         let mut at = pause * rng.random_range(0.3..1.0);
         while at + 60.0 < until {
             let alone = kind == Kind::Alone || (kind == Kind::Mixed && rng.random_bool(0.5));
-            let first = rng.random_range(0..PLACES);
+            let first = rng.random_range(0..DATA_CENTRES);
             let mut from = at;
-            for turn in 0..if alone { 1 } else { PLACES } {
+            for turn in 0..if alone { 1 } else { DATA_CENTRES } {
                 let to = from + rng.random_range(10.0..18.0);
-                spells.push(Spell { place: (first + turn) % PLACES, from, to });
+                outages.push(Outage { data_centre: (first + turn) % DATA_CENTRES, from, to });
                 from += rng.random_range(0.2..4.0);
             }
             at += 60.0 + pause * rng.random_range(0.2..1.0);
         }
-        Self { spells, notice, boot, until }
+        Self { outages, notice, boot, until }
     }
 
-    fn market(&self, absence: OutageStats, outlook: LossForecast) -> Market {
+    fn market(&self, outages: OutageStats, forecast: LossForecast) -> Market {
         Market {
-            data_centres: PLACES as u32,
+            data_centres: DATA_CENTRES as u32,
             max_per_data_centre: 12,
             on_demand_price: 1.0,
             spot_price: 0.16,
@@ -101,59 +101,59 @@
             surge_factor: 1.0,
             slots: LOAD.slots,
             boot_time: self.boot,
-            outages: absence,
-            forecast: outlook,
+            outages,
+            forecast,
         }
     }
 
-    /// When a data centre's engines serve again: ordered at the next try, and booted.
-    fn serves_again(&self, spell: &Spell) -> f64 {
-        let tries = ((spell.to - spell.from) / AGAIN).ceil();
-        spell.from + tries * AGAIN + self.boot
+    /// When the engines of a data centre serve again: they are ordered at the next attempt and have to boot.
+    fn serves_again(&self, outage: &Outage) -> f64 {
+        let tries = ((outage.to - outage.from) / RETRY_INTERVAL).ceil();
+        outage.from + tries * RETRY_INTERVAL + self.boot
     }
 
-    /// The spell that `place` is in, from its notice to the return of engines.
-    fn spell(&self, place: usize, now: f64) -> Option<&Spell> {
-        self.spells
-            .iter()
-            .find(|it| it.place == place && it.from <= now && now < self.serves_again(it))
+    /// The current outage of a data centre, from its notice until engines serve again.
+    fn outage(&self, data_centre: usize, now: f64) -> Option<&Outage> {
+        self.outages.iter().find(|it| {
+            it.data_centre == data_centre && it.from <= now && now < self.serves_again(it)
+        })
     }
 
     fn spots(&self, now: f64) -> u32 {
-        let serves = |place: &usize| {
-            self.spell(*place, now).is_none_or(|spell| now < spell.from + self.notice)
+        let serves = |data_centre: &usize| {
+            self.outage(*data_centre, now).is_none_or(|outage| now < outage.from + self.notice)
         };
-        (0..PLACES).filter(serves).count() as u32 * SPOTS
+        (0..DATA_CENTRES).filter(serves).count() as u32 * SPOTS
     }
 
-    fn seen(&self, place: usize, now: f64) -> SpotStatus {
-        match self.spell(place, now) {
+    fn seen(&self, data_centre: usize, now: f64) -> SpotStatus {
+        match self.outage(data_centre, now) {
             None => SpotStatus { serving: SPOTS, ..SpotStatus::default() },
-            Some(spell) => {
-                let left = spell.from + self.notice - now;
+            Some(outage) => {
+                let left = outage.from + self.notice - now;
                 let leaving = if left > 0.0 { SPOTS } else { 0 };
                 SpotStatus { serving: 0, leaving, notice: Some(left.max(0.0)) }
             }
         }
     }
 
-    /// Steps of virtual time.
+    /// The steps in virtual time.
     fn times(&self) -> impl Iterator<Item = f64> {
         let until = self.until;
         (0..).map(|step| f64::from(step) * STEP).take_while(move |now| *now < until)
     }
 
-    /// What a way costs a second: engines on demand, and late requests.
-    fn cost(&self, way: Way) -> f64 {
-        let mut spells = OutagePredictor::default();
+    /// The cost of a strategy per second: on-demand engines plus late requests.
+    fn cost(&self, strategy: Strategy) -> f64 {
+        let mut predictor = OutagePredictor::default();
         let mut engines: Vec<f64> = Vec::new();
         let mut cost = 0.0;
         let names: Vec<DataCentre> =
             ["a", "b", "c", "d"].iter().map(|name| name.parse().unwrap()).collect();
         for now in self.times() {
-            self.learn(now, &names, &mut spells);
-            let wanted = self.wanted(way, now, engines.len() as u32, &spells) as usize;
-            // Those that boot are given up first.
+            self.learn(now, &names, &mut predictor);
+            let wanted = self.wanted(strategy, now, engines.len() as u32, &predictor) as usize;
+            // Booting engines are given up first.
             engines.truncate(wanted);
             engines.resize(wanted, now + self.boot + STEP);
             let serving = engines.iter().filter(|from| **from <= now).count() as u32;
@@ -163,47 +163,57 @@
         cost / self.until
     }
 
-    /// What the list shows, late, and what becomes of orders.
-    fn learn(&self, now: f64, names: &[DataCentre], spells: &mut OutagePredictor) {
+    /// Passes on the lagging list and the outcome of orders.
+    fn learn(&self, now: f64, names: &[DataCentre], predictor: &mut OutagePredictor) {
         let listed = now - LAG;
-        let seen: Vec<_> =
-            (0..PLACES).map(|place| (names[place].clone(), self.seen(place, listed))).collect();
-        spells.observe(now, &seen);
-        for spell in self.spells.iter().filter(|it| it.from <= listed && listed < it.to + AGAIN) {
-            let tries = ((listed - spell.from) / AGAIN).floor();
-            let tried = spell.from + tries * AGAIN;
+        let seen: Vec<_> = (0..DATA_CENTRES)
+            .map(|data_centre| (names[data_centre].clone(), self.seen(data_centre, listed)))
+            .collect();
+        predictor.observe(now, &seen);
+        for outage in
+            self.outages.iter().filter(|it| it.from <= listed && listed < it.to + RETRY_INTERVAL)
+        {
+            let tries = ((listed - outage.from) / RETRY_INTERVAL).floor();
+            let tried = outage.from + tries * RETRY_INTERVAL;
             if listed - tried >= STEP {
                 continue;
             }
-            match tried < spell.to {
-                true => spells.record_refusal(now, &names[spell.place]),
-                false => spells.record_acceptance(now, &names[spell.place]),
+            match tried < outage.to {
+                true => predictor.record_refusal(now, &names[outage.data_centre]),
+                false => predictor.record_acceptance(now, &names[outage.data_centre]),
             }
         }
     }
 
-    fn wanted(&self, way: Way, now: f64, held: u32, spells: &OutagePredictor) -> u32 {
+    fn wanted(&self, strategy: Strategy, now: f64, held: u32, predictor: &OutagePredictor) -> u32 {
         let listed = now - LAG;
-        let serving = |place: &usize| self.seen(*place, listed).serving;
-        let spots: u32 = (0..PLACES).map(|place| serving(&place)).sum();
-        let calm =
-            LossForecast { lost: spells.lost_count(), ..LossForecast::no_loss(PLACES as u32) };
-        let outlook = if way == Way::Foreseen { spells.forecast(self.boot) } else { calm };
-        let market = self.market(spells.outage_stats(), outlook);
-        match way {
-            Way::Foreseen | Way::LastNotice => LOAD.on_demand_engines(spots, held, &market),
-            Way::FirstNotice if spells.lost_count() > 0 => LOAD.on_demand_engines(0, held, &market),
-            Way::FirstNotice => LOAD.on_demand_engines(spots, held, &market),
-            Way::Reserve(least) => LOAD.on_demand_engines(spots, held, &market).max(least),
+        let serving = |data_centre: &usize| self.seen(*data_centre, listed).serving;
+        let spots: u32 = (0..DATA_CENTRES).map(|data_centre| serving(&data_centre)).sum();
+        let calm = LossForecast {
+            lost: predictor.lost_count(),
+            ..LossForecast::no_loss(DATA_CENTRES as u32)
+        };
+        let forecast =
+            if strategy == Strategy::Forecast { predictor.forecast(self.boot) } else { calm };
+        let market = self.market(predictor.outage_stats(), forecast);
+        match strategy {
+            Strategy::Forecast | Strategy::Remaining => {
+                LOAD.on_demand_engines(spots, held, &market)
+            }
+            Strategy::FirstNotice if predictor.lost_count() > 0 => {
+                LOAD.on_demand_engines(0, held, &market)
+            }
+            Strategy::FirstNotice => LOAD.on_demand_engines(spots, held, &market),
+            Strategy::Reserve(least) => LOAD.on_demand_engines(spots, held, &market).max(least),
         }
     }
 
-    /// What it costs a second to know the spells: engines are ordered as long before as they boot, each
-    /// where it gains more than that.
+    /// The cost per second if all outages are known in advance: engines are ordered ahead by their boot
+    /// time, each one only if it saves more than it costs.
     fn least_cost(&self) -> f64 {
         let by_length = |length: f64| {
-            let absence = OutageStats { fraction: 0.1, duration: length };
-            let market = self.market(absence, LossForecast::no_loss(PLACES as u32));
+            let outages = OutageStats { fraction: 0.1, duration: length };
+            let market = self.market(outages, LossForecast::no_loss(DATA_CENTRES as u32));
             let mut held = 0;
             let mut cost = 0.0;
             for now in self.times() {
@@ -220,17 +230,18 @@
     }
 }
 
-/// The ways that are weighed; the fixed reserve is what the load is worth with nothing else.
-const WAYS: [Way; 4] = [Way::Foreseen, Way::LastNotice, Way::FirstNotice, Way::Reserve(12)];
+/// The compared strategies. The fixed reserve is the number the load justifies without spot engines.
+const STRATEGIES: [Strategy; 4] =
+    [Strategy::Forecast, Strategy::Remaining, Strategy::FirstNotice, Strategy::Reserve(12)];
 
-const KINDS: [Kind; 5] = [Kind::Never, Kind::Alone, Kind::Rows, Kind::FarApart, Kind::Mixed];
+const KINDS: [Kind; 5] = [Kind::Never, Kind::Alone, Kind::Series, Kind::FarApart, Kind::Mixed];
 
-/// What reclaimable engines cost a second, with any way.
-const SPOT_COST: f64 = 0.16 * (PLACES as u32 * SPOTS) as f64;
+/// The cost of spot engines per second, which is the same for all strategies.
+const SPOT_COST: f64 = 0.16 * (DATA_CENTRES as u32 * SPOTS) as f64;
 
-/// Mean costs a second of all engines and of late requests, over drawn markets.
+/// The mean cost per second of all engines and of late requests over several simulated markets.
 struct Costs {
-    ways: [f64; WAYS.len()],
+    strategies: [f64; STRATEGIES.len()],
     least: f64,
 }
 
@@ -242,36 +253,39 @@
         let mean = |cost: &dyn Fn(&World) -> f64| {
             SPOT_COST + worlds.iter().map(cost).sum::<f64>() / worlds.len() as f64
         };
-        let ways = WAYS.map(|way| mean(&|world| world.cost(way)));
-        let costs = Self { ways, least: mean(&World::least_cost) };
-        println!("{kind:?}, boots {boots:?}: {:.2?} by way, {:.2} at least", ways, costs.least);
+        let strategies = STRATEGIES.map(|strategy| mean(&|world| world.cost(strategy)));
+        let costs = Self { strategies, least: mean(&World::least_cost) };
+        println!(
+            "{kind:?}, boots {boots:?}: {:.2?} by strategy, {:.2} with the oracle",
+            strategies, costs.least
+        );
         costs
     }
 }
 
 #[test]
-fn foreseen_spells_cost_within_15_percent_of_knowing_them_where_notices_are_as_long_as_boots() {
+fn forecast_costs_within_15_percent_of_the_oracle_if_notices_are_as_long_as_boot_times() {
     for kind in KINDS {
         let costs = Costs::new(kind, &[1.0, 2.0, 4.0]);
-        let ratio = costs.ways[0] / costs.least;
+        let ratio = costs.strategies[0] / costs.least;
         assert!(ratio < 1.15, "{kind:?}: {ratio}");
     }
 }
 
 #[test]
-fn no_other_way_costs_less_over_all_kinds_of_markets() {
+fn no_other_strategy_costs_less_over_all_kinds_of_markets() {
     for boots in [[1.0, 2.0, 4.0].as_slice(), &[8.0, 20.0]] {
         let all = KINDS.map(|kind| Costs::new(kind, boots));
-        let sum = |way: usize| all.iter().map(|costs| costs.ways[way]).sum::<f64>();
+        let sum = |strategy: usize| all.iter().map(|costs| costs.strategies[strategy]).sum::<f64>();
         let sums = [0, 1, 2, 3].map(sum);
         assert!(sums[1..].iter().all(|other| sums[0] < *other), "{sums:?}, boots {boots:?}");
     }
 }
 
 #[test]
-fn where_no_spell_comes_the_reserve_goes() {
-    let world = World { spells: Vec::new(), notice: 2.0, boot: 8.0, until: 700.0 };
-    let foreseen = world.cost(Way::Foreseen) + SPOT_COST;
+fn reserve_is_given_up_without_outages() {
+    let world = World { outages: Vec::new(), notice: 2.0, boot: 8.0, until: 700.0 };
+    let forecast = world.cost(Strategy::Forecast) + SPOT_COST;
     let least = world.least_cost() + SPOT_COST;
-    assert!(foreseen < 1.05 * least, "{foreseen} for {least}");
+    assert!(forecast < 1.05 * least, "{forecast} for {least}");
 }
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -1,4 +1,4 @@
-//! What a box keeps in memory, what it refuses, and whom it lets go.
+//! Tests what a box holds in memory, which requests it refuses, and which slow callers it disconnects.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
     MemoryClaim::Request { team: Some(team.parse().unwrap()), urgency }
 }
 
-/// Takes pieces of ten bytes until there is no room.
+/// Reserves pieces of ten bytes until the limit is reached.
 fn fill(memory: &MemoryBudget, claim: &MemoryClaim) -> Vec<MemoryReservation> {
     let pieces = std::iter::repeat_with(|| memory.reserve(Purpose::Bodies, 10, claim.clone()));
     pieces.map_while(Result::ok).collect()
@@ -36,13 +36,13 @@
         for team in 0..20 {
             held.extend(fill(&memory, &request(&format!("team-{team}"), urgency)));
         }
-        assert!(memory.reserved() > before, "urgency {urgency} finds no room at {before}");
+        assert!(memory.reserved() > before, "urgency {urgency} gets no memory beyond {before}");
         before = memory.reserved();
     }
 }
 
 #[test]
-fn team_that_fills_the_box_leaves_room_for_another() {
+fn team_that_fills_the_box_leaves_memory_for_another() {
     let memory = MemoryBudget::with_size(SIZE);
     let _large = fill(&memory, &request("large", 0));
     let small = fill(&memory, &request("small", 0));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn accepted_request_finds_room_where_new_ones_do_not() {
+fn accepted_request_gets_memory_when_new_ones_are_refused() {
     let memory = MemoryBudget::with_size(SIZE);
     let mut held = Vec::new();
     for team in 0..20 {
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn reading_ahead_of_slow_callers_takes_no_room_from_others() {
+fn reading_ahead_takes_no_memory_from_requests() {
     let memory = MemoryBudget::with_size(SIZE);
     let _ahead = fill(&memory, &MemoryClaim::ReadAhead);
     assert!(!memory.is_under_pressure());
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn connections_at_rest_go_before_anything_is_refused() {
+fn pressure_is_reported_before_anything_is_refused() {
     let memory = MemoryBudget::with_size(SIZE);
     let claim = request("team", 9);
     let mut held = Vec::new();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn what_the_program_needs_itself_is_not_given_out() {
+fn memory_of_the_program_is_not_reservable() {
     let memory = MemoryBudget::for_process_limit(ByteSize(160_000_000));
     assert!(memory.size() > 90_000_000 && memory.size() < 136_000_000, "{}", memory.size());
     assert_eq!(MemoryBudget::for_process_limit(ByteSize(1)).size(), 0);
@@ -151,7 +151,7 @@
         }
         held.clear();
         prop_assert_eq!(memory.reserved(), 0);
-        // Also of the teams: the first one has the whole box again.
+        // The per-team accounts are released as well: the first team can use the whole box again.
         let again = fill(&memory, &request("team-0", 0));
         prop_assert!(bytes(&again) >= SIZE / 2);
     }
@@ -159,8 +159,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A caller for whom 10 kB are kept, who takes 10 kB a second and has ten seconds left.
-fn taking() -> ReadProgress {
+/// A caller with 10 kB buffered that reads 10 kB per second and has ten seconds left.
+fn progress() -> ReadProgress {
     ReadProgress {
         buffered: 10_000,
         read: 30_000,
@@ -173,33 +173,33 @@
 }
 
 #[parameterized(
-    takes = { taking(), None },
-    has_all = { ReadProgress { buffered: 0, silent_time: 60 * SECOND, ..taking() }, None },
-    silent = { ReadProgress { silent_time: 3 * SECOND, ..taking() }, Some(Slowness::Silent) },
-    known_to_pause = { ReadProgress { silent_time: 3 * SECOND, longest_pause: 2 * SECOND, ..taking() }, None },
-    engine_waits = { ReadProgress { blocked_time: 2 * SECOND, ..taking() }, Some(Slowness::Holding) },
+    takes = { progress(), None },
+    has_all = { ReadProgress { buffered: 0, silent_time: 60 * SECOND, ..progress() }, None },
+    silent = { ReadProgress { silent_time: 3 * SECOND, ..progress() }, Some(Slowness::Silent) },
+    known_to_pause = { ReadProgress { silent_time: 3 * SECOND, longest_pause: 2 * SECOND, ..progress() }, None },
+    engine_waits = { ReadProgress { blocked_time: 2 * SECOND, ..progress() }, Some(Slowness::Holding) },
     pauses_do_not_hold_engines = {
-        ReadProgress { blocked_time: 2 * SECOND, longest_pause: 9 * SECOND, ..taking() }, Some(Slowness::Holding)
+        ReadProgress { blocked_time: 2 * SECOND, longest_pause: 9 * SECOND, ..progress() }, Some(Slowness::Holding)
     },
-    too_little = { ReadProgress { buffered: 1_000_000, ..taking() }, Some(Slowness::Late) },
-    too_little_not_known_yet = { ReadProgress { buffered: 1_000_000, pending_time: SECOND, read: 1, ..taking() }, None },
+    too_little = { ReadProgress { buffered: 1_000_000, ..progress() }, Some(Slowness::Late) },
+    too_little_not_known_yet = { ReadProgress { buffered: 1_000_000, pending_time: SECOND, read: 1, ..progress() }, None },
 )]
-fn caller_is_let_go_by_what_it_takes(taking: ReadProgress, slow: Option<Slowness>) {
-    assert_eq!(check_progress(&taking, Some(SECOND / 10), true), slow);
+fn slow_caller_is_detected_by_its_progress(progress: ReadProgress, expected: Option<Slowness>) {
+    assert_eq!(check_progress(&progress, Some(SECOND / 10), true), expected);
 }
 
 #[test]
-fn route_with_long_pauses_bears_a_longer_silence() {
-    let taking = ReadProgress { silent_time: 3 * SECOND, ..taking() };
-    assert_eq!(check_progress(&taking, Some(SECOND), true), None);
+fn route_with_long_gaps_tolerates_longer_silence() {
+    let progress = ReadProgress { silent_time: 3 * SECOND, ..progress() };
+    assert_eq!(check_progress(&progress, Some(SECOND), true), None);
 }
 
 #[test]
-fn caller_whose_answer_cannot_be_had_again_is_borne_longer() {
-    let taking = ReadProgress { silent_time: 3 * SECOND, ..taking() };
-    assert_eq!(check_progress(&taking, Some(SECOND / 10), false), None);
-    // Not where its engine waits: that cuts it off in any case.
-    let holding = ReadProgress { blocked_time: 2 * SECOND, ..taking };
+fn caller_with_an_unrepeatable_answer_is_tolerated_longer() {
+    let progress = ReadProgress { silent_time: 3 * SECOND, ..progress() };
+    assert_eq!(check_progress(&progress, Some(SECOND / 10), false), None);
+    // This does not apply while its engine waits, as the engine aborts the stream in any case.
+    let holding = ReadProgress { blocked_time: 2 * SECOND, ..progress };
     assert_eq!(check_progress(&holding, Some(SECOND / 10), false), Some(Slowness::Holding));
 }
 
@@ -231,13 +231,13 @@
     full_of_others = { EngineUsage { other_requests: 3.0, ..EMPTY }, false },
     full_together = { EngineUsage { own_requests: 1, own_tokens: 3_000, other_requests: 2.0 }, false },
 )]
-fn engine_without_memory_left_has_no_room(engine: EngineUsage, has_room: bool) {
+fn engine_without_enough_memory_has_no_room(engine: EngineUsage, has_room: bool) {
     let engines = [engine, EngineUsage { own_requests: 1, own_tokens: 3_000, ..EMPTY }];
     assert_eq!(have_room(Tokens(10_000), &engines, 3_000), [has_room, true]);
 }
 
 #[test]
-fn others_requests_are_taken_to_be_as_long_as_ours() {
+fn requests_of_other_relays_are_assumed_to_be_as_long_as_own_ones() {
     let short = [EngineUsage { own_requests: 1, own_tokens: 100, other_requests: 20.0 }, EMPTY];
     assert_eq!(have_room(Tokens(10_000), &short, 100), [true, true]);
     let long = [EngineUsage { own_requests: 1, own_tokens: 1_000, other_requests: 20.0 }, EMPTY];
--- a/tests/pressure.rs
+++ b/tests/pressure.rs
@@ -1,4 +1,4 @@
-//! A relay under large bodies, slow callers and more connections than it has room for.
+//! Tests a relay with large bodies, slow callers, and more connections than it can hold.
 
 #[path = "support/platform.rs"]
 #[allow(dead_code, reason = "each test takes what it needs")]
@@ -22,7 +22,7 @@
 
 const BODY: usize = 4 << 20;
 
-/// The usual document with bodies of 4 MB.
+/// The usual document with a body limit of 4 MB.
 fn large_bodies() -> Value {
     let mut value = document(1, &usual_routes());
     value["limits"]["max_body_bytes"] = BODY.into();
@@ -42,25 +42,25 @@
     )
 }
 
-/// Reads to the end of a connection.
+/// Reads until the connection is closed.
 async fn rest(stream: &mut TcpStream) -> String {
     let mut answer = Vec::new();
     let reading = stream.read_to_end(&mut answer);
-    let _ = tokio::time::timeout(PATIENCE, reading).await.expect("no end in time");
+    let _ = tokio::time::timeout(PATIENCE, reading).await.expect("not closed in time");
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// Writes a request whole before it reads anything of the answer.
+/// Writes a whole request before reading anything of the answer.
 async fn send_whole(relay: &TestRelay, body: &[u8]) -> Reply {
     let mut stream = TcpStream::connect(relay.addr).await.unwrap();
     let length = body.len();
     let head = head("once", &format!("Content-Length: {length}\r\nConnection: close\r\n"));
     stream.write_all(head.as_bytes()).await.unwrap();
-    stream.write_all(body).await.expect("cut off while it writes");
+    stream.write_all(body).await.expect("connection closed during the write");
     Reply::parse(&rest(&mut stream).await)
 }
 
-/// Writes a request and reads its answer as it comes; what is not written by then is left.
+/// Writes a request while reading the answer. Stops writing once the answer is complete.
 async fn send(relay: &TestRelay, body: &[u8]) -> Reply {
     let mut stream = TcpStream::connect(relay.addr).await.unwrap();
     let length = body.len();
@@ -106,20 +106,20 @@
     let said = |reply: &&Reply| reply.whole && reply.headers.contains_key("retry-after");
     assert!(refused.iter().all(said) && refused.iter().all(|it| it.body.contains("no_memory")));
     assert!(relay.relay.memory.peak() <= relay.relay.memory.size());
-    until("all is given back", || relay.relay.memory.reserved_for(Purpose::Bodies) == 0).await;
+    until("all memory is released", || relay.relay.memory.reserved_for(Purpose::Bodies) == 0).await;
 }
 
 #[tokio::test]
-async fn length_is_reserved_before_the_body_and_given_back_with_its_caller() {
+async fn body_length_is_reserved_ahead_and_released_when_the_caller_leaves() {
     let server = StandIn::start("i-1", &[Act::Answer]).await;
     let relay = relay_with("", &large_bodies(), &[&server]).await;
     let mut stream = TcpStream::connect(relay.addr).await.unwrap();
     let text = head("once", &format!("Content-Length: {BODY}\r\n"));
     stream.write_all(text.as_bytes()).await.unwrap();
     let memory = &relay.relay.memory;
-    until("it is reserved", || memory.reserved_for(Purpose::Bodies) >= BODY as u64).await;
+    until("memory is reserved", || memory.reserved_for(Purpose::Bodies) >= BODY as u64).await;
     drop(stream);
-    until("all is given back", || memory.reserved() == 0).await;
+    until("all memory is released", || memory.reserved() == 0).await;
     assert!(server.seen().is_empty());
 }
 
@@ -157,7 +157,7 @@
     assert_eq!(reply.status, 408, "{reply:?}");
     assert!(reply.body.contains("cannot arrive in time"), "{reply:?}");
     assert!(server.seen().is_empty());
-    until("all is given back", || relay.relay.memory.reserved() == 0).await;
+    until("all memory is released", || relay.relay.memory.reserved() == 0).await;
 }
 
 #[tokio::test]
@@ -177,23 +177,23 @@
     let relay = relay_with("", &value, &[]).await;
     let mut stream = TcpStream::connect(relay.addr).await.unwrap();
     assert_eq!(rest(&mut stream).await, "");
-    until("its place is free", || relay.relay.gate.counts() == (0, 0)).await;
+    until("its slot is free", || relay.relay.gate.counts() == (0, 0)).await;
 }
 
 #[tokio::test]
-async fn connection_at_rest_is_not_held_to_the_time_of_a_head() {
+async fn idle_connection_is_not_subject_to_the_head_timeout() {
     let server = StandIn::start("i-1", &[Act::Answer]).await;
     let mut value = document(1, &usual_routes());
     value["limits"]["header_timeout_ms"] = 500.into();
     let relay = relay_with("", &value, &[&server]).await;
     let mut stream = TcpStream::connect(relay.addr).await.unwrap();
     ask_on(&mut stream).await;
-    // A connection that says nothing is closed meanwhile, so the time for a head is over.
+    // Wait until a silent connection is closed, so that the time limit for a head has passed.
     rest(&mut TcpStream::connect(relay.addr).await.unwrap()).await;
     ask_on(&mut stream).await;
 }
 
-/// Asks on a connection that is kept.
+/// Sends a request on a connection that stays open.
 async fn ask_on(stream: &mut TcpStream) {
     let text = head("once", "Content-Length: 0\r\n");
     stream.write_all(text.as_bytes()).await.unwrap();
@@ -204,9 +204,9 @@
 }
 
 #[tokio::test]
-async fn without_a_place_the_connection_that_rested_longest_goes() {
+async fn longest_idle_connection_is_closed_when_slots_run_out() {
     let server = StandIn::start("i-1", &[Act::Answer]).await;
-    // Places for 56 callers.
+    // Slots for 56 callers.
     let relay = relay_with("descriptors = 1024\n", &document(1, &usual_routes()), &[&server]).await;
     let mut streams = Vec::new();
     for _ in 0..56 {
@@ -214,9 +214,9 @@
         ask_on(&mut stream).await;
         streams.push(stream);
     }
-    until("all rest", || relay.relay.gate.counts() == (56, 56)).await;
+    until("all are idle", || relay.relay.gate.counts() == (56, 56)).await;
     ask_on(&mut streams[0]).await;
-    until("all rest", || relay.relay.gate.counts() == (56, 56)).await;
+    until("all are idle", || relay.relay.gate.counts() == (56, 56)).await;
     ask_on(&mut TcpStream::connect(relay.addr).await.unwrap()).await;
     assert_eq!(rest(&mut streams[1]).await, "");
     ask_on(&mut streams[0]).await;
@@ -224,11 +224,11 @@
 }
 
 #[tokio::test]
-async fn under_pressure_connections_at_rest_go() {
+async fn idle_connections_are_closed_under_memory_pressure() {
     let server = StandIn::start("i-1", &[Act::Answer]).await;
     let relay = relay_with("memory = 32MB\n", &large_bodies(), &[&server]).await;
-    let mut resting = TcpStream::connect(relay.addr).await.unwrap();
-    ask_on(&mut resting).await;
+    let mut idle = TcpStream::connect(relay.addr).await.unwrap();
+    ask_on(&mut idle).await;
     let relay = Arc::new(relay);
     let mut held = Vec::new();
     while !relay.relay.memory.is_under_pressure() {
@@ -238,10 +238,10 @@
         held.push(stream);
         let memory = relay.relay.memory.clone();
         let wanted = held.len() as u64 * 1_000_000;
-        until("it is reserved", || memory.reserved_for(Purpose::Bodies) >= wanted).await;
+        until("memory is reserved", || memory.reserved_for(Purpose::Bodies) >= wanted).await;
     }
     relay.ask("POST", "once").await;
-    assert_eq!(rest(&mut resting).await, "");
+    assert_eq!(rest(&mut idle).await, "");
 }
 
 #[tokio::test]
@@ -252,26 +252,26 @@
     let text = head("once", "Content-Length: 3000000\r\n");
     held.write_all(text.as_bytes()).await.unwrap();
     let memory = &relay.relay.memory;
-    until("it is reserved", || memory.reserved_for(Purpose::Bodies) >= 3_000_000).await;
+    until("memory is reserved", || memory.reserved_for(Purpose::Bodies) >= 3_000_000).await;
     let reply = send_whole(&relay, &vec![b'x'; BODY]).await;
     assert_eq!((reply.status, reply.whole), (503, true), "{reply:?}");
     assert!(reply.headers.contains_key("retry-after"));
     assert!(server.seen().is_empty());
 }
 
-/// Asks on a connection for which this side's system keeps next to nothing, and reads so many bytes.
+/// Sends a request on a connection with a minimal receive buffer, and reads the given number of bytes.
 async fn ask_and_stop(relay: &TestRelay, route: &str, bytes: usize) -> (TcpStream, Vec<u8>) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_recv_buffer_size(4 << 10).unwrap();
     let mut stream = socket.connect(relay.addr).await.unwrap();
     let text = head(route, "Deadline-Ms: 60000\r\nContent-Length: 0\r\n");
     stream.write_all(text.as_bytes()).await.unwrap();
-    let mut came = vec![0; bytes];
-    stream.read_exact(&mut came).await.unwrap();
-    (stream, came)
+    let mut received = vec![0; bytes];
+    stream.read_exact(&mut received).await.unwrap();
+    (stream, received)
 }
 
-/// The usual document with routes that hold a request for longer than any test.
+/// The usual document with routes whose time limit exceeds the duration of any test.
 fn patient() -> Value {
     let mut value = document(1, &usual_routes());
     for route in value["routes"].as_array_mut().unwrap() {
@@ -287,7 +287,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn answer_is_read_to_its_end_while_its_caller_takes_nothing() {
-    // More than connections hold, less than is kept of one answer beside them.
+    // More than the sockets buffer, less than the relay buffers for one answer.
     let server = StandIn::start("i-1", &[Act::Large(2_500, 100)]).await;
     let relay = TestRelay::start(&[&server]).await;
     let (_stream, _) = ask_and_stop(&relay, "stream", 100).await;
@@ -304,7 +304,7 @@
     server.wait_gone(1).await;
     assert!(relay.has_counted("caller_slow"));
     assert!(!rest(&mut stream).await.ends_with("0\r\n\r\n"));
-    until("all is given back", || relay.relay.memory.reserved() == 0).await;
+    until("all memory is released", || relay.relay.memory.reserved() == 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -322,10 +322,10 @@
     let last = 20_000;
     let server = StandIn::start("i-1", &[Act::Large(last, 100)]).await;
     let relay = TestRelay::start(&[&server]).await;
-    let (mut stream, came) = ask_and_stop(&relay, "resumable", 4_000).await;
-    until("it is let go", || relay.has_counted("caller_slow")).await;
-    let came = String::from_utf8(came).unwrap();
-    let text = format!("{came}{}", rest(&mut stream).await);
+    let (mut stream, received) = ask_and_stop(&relay, "resumable", 4_000).await;
+    until("the caller is disconnected", || relay.has_counted("caller_slow")).await;
+    let received = String::from_utf8(received).unwrap();
+    let text = format!("{received}{}", rest(&mut stream).await);
     let reply = Reply::parse(&text);
     assert!(!reply.whole);
     let had = reply.body.matches("\n\n").count() as u64;
@@ -336,18 +336,18 @@
     assert!(again.whole && again.body == missing);
 }
 
-/// Takes a kilobyte a second until the other side closes.
-async fn trickle(relay: &TestRelay, begun: &AtomicUsize) {
+/// Reads one kilobyte per second until the other side closes the connection.
+async fn trickle(relay: &TestRelay, started: &AtomicUsize) {
     let (mut stream, _) = ask_and_stop(relay, "stream", 100).await;
-    begun.fetch_add(1, Ordering::SeqCst);
+    started.fetch_add(1, Ordering::SeqCst);
     let mut piece = [0; 100];
     while stream.read(&mut piece).await.is_ok_and(|read| read > 0) {
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
 
-/// Slow callers beside others: half of the slow ones take nothing, half a kilobyte a second. The box
-/// closes in the midst of it.
+/// Runs slow callers next to normal ones: half of the slow callers read nothing, the other half one kilobyte
+/// per second. The box shuts down meanwhile.
 async fn slow_callers_beside_others(slow: usize, others: usize, memory: &str) {
     let slow_server = StandIn::start("i-1", &[Act::Large(u64::MAX, 1_000)]).await;
     let server = StandIn::start("i-2", &[Act::Large(1_000, 100)]).await;
@@ -366,19 +366,20 @@
     let relay = Arc::new(TestRelay::empty_with(&extra).await);
     relay.publish(&value);
     relay.list_as(vec![slow_server.listed("svc"), server.listed("svc-2")]);
-    let begun = Arc::new(AtomicUsize::new(0));
+    let started = Arc::new(AtomicUsize::new(0));
     for _ in 0..slow / 2 {
-        let (relay, begun) = (relay.clone(), begun.clone());
-        tokio::spawn(async move { trickle(&relay, &begun).await });
+        let (relay, started) = (relay.clone(), started.clone());
+        tokio::spawn(async move { trickle(&relay, &started).await });
     }
     let silent = (0..slow - slow / 2).map(|_| ask_and_stop(&relay, "stream", 100));
     let _held = join_all(silent).await;
-    until("all have begun", || begun.load(Ordering::SeqCst) == slow / 2).await;
-    // Their deadline is theirs alone: in eight seconds a busy machine does not bring them all their answer.
+    until("all have started", || started.load(Ordering::SeqCst) == slow / 2).await;
+    // The other callers have a long deadline: on a busy machine, eight seconds are too short for all of
+    // their answers.
     let text = head("quick", "Deadline-Ms: 60000\r\nContent-Length: 0\r\nConnection: close\r\n");
     let text = text.replace("key-a", "key-b");
     let ask = async || Reply::parse(&relay.raw(&text).await);
-    // No leader renews the allowances, which end after 5.9 s.
+    // No leader renews the allowances, which expire after 5.9 s.
     relay.allow(1e9);
     let first = join_all((0..others).map(|_| ask())).await;
     let refused = first.iter().filter(|reply| !reply.whole || reply.status != 200);
@@ -386,18 +387,18 @@
     relay.allow(1e9);
     let last = join_all((0..others).map(|_| ask()));
     let closing = async {
-        until("they are under way", || server.seen().len() >= 2 * others).await;
+        until("the requests are in progress", || server.seen().len() >= 2 * others).await;
         relay.close();
     };
     let (last, ()) = tokio::join!(last, closing);
     let whole: String = (1..=1_000).map(|number| large_event(number, 100)).collect();
     assert!(first.iter().chain(&last).all(|reply| reply.whole && reply.body == whole));
-    until("slow ones are let go", || relay.has_counted("caller_slow")).await;
-    until("all is given back", || relay.relay.memory.reserved() == 0).await;
+    until("slow callers are disconnected", || relay.has_counted("caller_slow")).await;
+    until("all memory is released", || relay.relay.memory.reserved() == 0).await;
     let memory = &relay.relay.memory;
     assert!(memory.peak() <= memory.size());
     println!(
-        "{slow} slow callers, {} let to the engine: {} of {} bytes kept at most",
+        "{slow} slow callers, {} requests at the engine: peak of {} of {} bytes reserved",
         slow_server.seen().len(),
         memory.peak(),
         memory.size(),
@@ -410,8 +411,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-#[ignore = "thousands of connections: by hand"]
-async fn thousands_of_slow_callers_cost_the_others_nothing() {
+#[ignore = "thousands of connections, run manually"]
+async fn thousands_of_slow_callers_do_not_affect_others() {
     slow_callers_beside_others(2_000, 50, "160MB").await;
 }
 
@@ -422,7 +423,7 @@
     let mut first = StandIn::start("i-1", &[Act::UntilMoved(2)]).await;
     let mut second = StandIn::start("i-2", &[Act::UntilMoved(2)]).await;
     let relay = relay_with("", &value, &[&first]).await;
-    // The first engine keeps the part that they share, and is the better choice but for its memory.
+    // The first engine has the shared prefix cached and would be preferred if it had memory left.
     let headers =
         "Token-Usage: 5000,4000\r\nPrompt-Prefix: aa:4900,bb:100\r\nContent-Length: 0\r\n";
     let text = head("stream", headers);
@@ -437,13 +438,13 @@
     relay.list(&[&first, &second]);
     let _two = ask().await;
     second.wait_seen(1).await;
-    // Neither has room left: the third is sent all the same.
+    // Neither engine has memory left, so the third request is sent all the same.
     let _three = ask().await;
     assert_eq!(first.seen().len() + second.seen().len(), 3);
 }
 
 #[tokio::test]
-async fn idle_connections_to_servers_are_bounded_over_all_of_them() {
+async fn idle_server_connections_are_bounded_in_total() {
     let servers = join_all((0..12).map(|_| StandIn::start("i-1", &[Act::Answer]))).await;
     let pool = Pool::default();
     let addrs = servers.iter().flat_map(|server| std::iter::repeat_n(server.addr, 50));
@@ -451,7 +452,7 @@
         let request = Request::get("/x").header("host", "x").body(Full::default()).unwrap();
         pool.send(addr, request, PATIENCE, Reuse::Any)
     });
-    // Each has a connection of its own until its answer is read.
+    // Each request has its own connection until its answer is read.
     let exchanges = join_all(sends).await;
     assert_eq!(pool.idle(), 0);
     let reads = exchanges.into_iter().map(|exchange| exchange.unwrap().read_whole(64, PATIENCE));
--- a/tests/spend.rs
+++ b/tests/spend.rs
@@ -1,4 +1,4 @@
-//! How many engines are ordered, of which kind, and where.
+//! Tests how many engines are ordered, of which kind, and in which data centre.
 
 use emberturn::decide::capacity::{Arrivals, Market, OfferedLoad, OutageStats, ServiceLoad};
 use emberturn::decide::engine::{EngineLearner, EngineModel};
@@ -17,7 +17,7 @@
     EngineCount { serving, expected: serving }
 }
 
-fn sites(spot: [u32; 4], on_demand: [u32; 4]) -> Vec<DataCentreEngines> {
+fn engines_by_site(spot: [u32; 4], on_demand: [u32; 4]) -> Vec<DataCentreEngines> {
     let prices = [1.0, 0.8, 1.25, 0.9];
     let names = ["a", "b", "c", "d"];
     (0..4)
@@ -30,19 +30,19 @@
         .collect()
 }
 
-fn need(ample: u32, bare: u32) -> EngineTarget {
-    EngineTarget { spot_target: ample, min_total: bare, has_traffic: true, keep_spot: false }
+fn target(spot_target: u32, needed: u32) -> EngineTarget {
+    EngineTarget { spot_target, min_total: needed, has_traffic: true, keep_spot: false }
 }
 
-fn totals(sites: &[DataCentreEngines], need: EngineTarget) -> (u32, u32) {
-    let plans = plan(sites, need, BOUNDS);
+fn totals(engines_by_site: &[DataCentreEngines], target: EngineTarget) -> (u32, u32) {
+    let plans = plan(engines_by_site, target, BOUNDS);
     (plans.iter().map(|it| it.spot).sum(), plans.iter().map(|it| it.on_demand).sum())
 }
 
 #[test]
-fn reclaimable_engines_are_spread_evenly() {
+fn spot_engines_are_spread_evenly() {
     for wanted in 4..=24 {
-        let plans = plan(&sites([0; 4], [0; 4]), need(wanted, 0), BOUNDS);
+        let plans = plan(&engines_by_site([0; 4], [0; 4]), target(wanted, 0), BOUNDS);
         let sum: u32 = plans.iter().map(|it| it.spot).sum();
         let largest = plans.iter().map(|it| it.spot).max().unwrap();
         assert_eq!(sum, wanted, "{plans:?}");
@@ -52,21 +52,24 @@
 }
 
 #[test]
-fn reclaimable_engines_hold_the_bare_need_without_any_one_data_centre() {
+fn spot_engines_suffice_after_the_loss_of_any_data_centre() {
     for times in [0.3, 1.0, 2.0] {
         let load = load(times, &MODEL);
-        let bare = load.cheapest_count(0, 1_000, MARKET.stand_in_price(), MARKET.late_cost);
+        let needed = load.cheapest_count(0, 1_000, MARKET.stand_in_price(), MARKET.late_cost);
         for places in 2..=6 {
             let market = Market { data_centres: places, max_per_data_centre: 100, ..MARKET };
             let spots = load.spot_engines(&market, 0);
             let left = spots - spots.div_ceil(places);
-            assert!(left >= bare, "{left} of {spots} left in {places} places, {bare} needed");
+            assert!(
+                left >= needed,
+                "{left} of {spots} left in {places} data centres, {needed} needed"
+            );
         }
     }
 }
 
 #[test]
-fn spare_grows_with_what_absences_cost() {
+fn spare_engines_grow_with_the_cost_of_outages() {
     let load = load(1.0, &MODEL);
     let with = |share, length| {
         load.spot_engines(
@@ -87,7 +90,7 @@
 }
 
 #[test]
-fn more_late_requests_than_a_queue_explains_are_worth_more_engines() {
+fn more_late_requests_than_the_queueing_model_predicts_need_more_engines() {
     let offered = offered(1.0);
     let with = |late| {
         let model = EngineModel { late, ..MODEL };
@@ -97,12 +100,12 @@
     };
     assert_eq!(with(0.0001), with(0.0));
     assert!(with(0.1) > with(0.0001));
-    // What comes late whatever the load buys no engines without end.
+    // Requests that are late with any number of engines must not raise the count without bound.
     assert_eq!(with(1.0), with(0.5));
 }
 
 #[test]
-fn small_change_of_the_load_changes_no_number() {
+fn small_change_of_the_load_keeps_the_spot_engines() {
     let held = load(1.0, &MODEL).spot_engines(&MARKET, 0);
     assert_eq!(load(1.04, &MODEL).spot_engines(&MARKET, held), held);
     assert_eq!(load(0.96, &MODEL).spot_engines(&MARKET, held), held);
@@ -110,57 +113,61 @@
 }
 
 #[test]
-fn engines_on_demand_go_only_when_reclaimable_ones_serve() {
-    // At the start: all on demand, none of the reclaimable ones serves.
-    assert_eq!(totals(&sites([0; 4], [3, 2, 2, 2]), need(12, 9)), (12, 9));
-    // They boot: still there.
-    let mut booting = sites([0; 4], [3, 2, 2, 2]);
+fn on_demand_engines_are_given_up_only_once_spot_engines_serve() {
+    // At the start all engines are on demand and no spot engine serves.
+    assert_eq!(totals(&engines_by_site([0; 4], [3, 2, 2, 2]), target(12, 9)), (12, 9));
+    // The spot engines boot; the on-demand engines stay.
+    let mut booting = engines_by_site([0; 4], [3, 2, 2, 2]);
     booting.iter_mut().for_each(|site| site.spot.expected = 3);
-    assert_eq!(totals(&booting, need(12, 9)).1, 9);
-    // They serve.
-    assert_eq!(totals(&sites([3; 4], [3, 2, 2, 2]), need(12, 9)), (12, 0));
+    assert_eq!(totals(&booting, target(12, 9)).1, 9);
+    // The spot engines serve.
+    assert_eq!(totals(&engines_by_site([3; 4], [3, 2, 2, 2]), target(12, 9)), (12, 0));
 }
 
 #[test]
-fn engines_that_boot_take_none_on_demand_away() {
+fn booting_spot_engines_do_not_replace_on_demand_engines() {
     let mut demand = DemandEstimator::default();
     demand.record(0.0, 0.0, offered(1.0));
-    let mut sites = sites([0; 4], [3; 4]);
-    sites.iter_mut().for_each(|site| site.spot.expected = 6);
-    let need = demand.target(0.0, 0.0, &MODEL, &MARKET, ServingEngines::of(&sites), 24).unwrap();
+    let mut engines_by_site = engines_by_site([0; 4], [3; 4]);
+    engines_by_site.iter_mut().for_each(|site| site.spot.expected = 6);
+    let target =
+        demand.target(0.0, 0.0, &MODEL, &MARKET, ServingEngines::of(&engines_by_site), 24).unwrap();
     let bounds = EngineLimits { max: 12, ..BOUNDS };
-    let kept = |sites: &[DataCentreEngines]| {
-        plan(sites, need, bounds).iter().map(|it| it.on_demand).sum::<u32>()
+    let kept = |engines_by_site: &[DataCentreEngines]| {
+        plan(engines_by_site, target, bounds).iter().map(|it| it.on_demand).sum::<u32>()
     };
-    assert!(need.min_total > 0 && kept(&sites) == need.min_total.min(12), "{need:?}");
-    // None is ordered anew for what boots already.
-    sites.iter_mut().for_each(|site| site.on_demand = count(0));
-    assert_eq!(kept(&sites), 0);
+    assert!(
+        target.min_total > 0 && kept(&engines_by_site) == target.min_total.min(12),
+        "{target:?}"
+    );
+    // Spot engines that already boot are not replaced by new on-demand engines.
+    engines_by_site.iter_mut().for_each(|site| site.on_demand = count(0));
+    assert_eq!(kept(&engines_by_site), 0);
 }
 
 #[test]
 fn more_engines_are_ordered_while_the_list_still_grows() {
-    // Four serve and two boot: the list shows one more in each reading.
+    // Four serve and two boot; each reading of the list shows one more.
     let there = EngineCount { serving: 4, expected: 6 };
     let grows: Vec<_> = (0..10).map(|count| there.is_exceeded_by(count)).collect();
     assert_eq!(grows, [false, false, false, false, false, false, false, true, true, true]);
 }
 
 #[test]
-fn engines_on_demand_stand_in_for_what_was_reclaimed() {
-    let after_one = sites([0, 3, 3, 3], [0; 4]);
-    assert_eq!(totals(&after_one, need(12, 9)).1, 0);
-    let after_three = sites([0, 3, 0, 0], [0; 4]);
-    assert_eq!(totals(&after_three, need(12, 9)).1, 6);
+fn on_demand_engines_replace_reclaimed_spot_engines() {
+    let after_one = engines_by_site([0, 3, 3, 3], [0; 4]);
+    assert_eq!(totals(&after_one, target(12, 9)).1, 0);
+    let after_three = engines_by_site([0, 3, 0, 0], [0; 4]);
+    assert_eq!(totals(&after_three, target(12, 9)).1, 6);
 }
 
 #[test]
-fn no_data_centre_gets_more_than_it_may_have() {
+fn no_data_centre_exceeds_its_limits() {
     for spot in 0..=6 {
         for on_demand in 0..=(6 - spot) {
             for wanted in [1, 10, 30, 100] {
-                let sites = sites([spot; 4], [on_demand; 4]);
-                for it in plan(&sites, need(wanted, wanted), BOUNDS) {
+                let engines_by_site = engines_by_site([spot; 4], [on_demand; 4]);
+                for it in plan(&engines_by_site, target(wanted, wanted), BOUNDS) {
                     assert!(it.spot + it.on_demand <= 6, "{it:?}");
                     assert!(it.spot + it.on_demand >= 1, "{it:?}");
                 }
@@ -170,16 +177,16 @@
 }
 
 #[test]
-fn without_reclaimable_engines_all_are_on_demand() {
+fn all_engines_are_on_demand_without_a_spot_offer() {
     let bounds = EngineLimits { has_spot: false, ..BOUNDS };
-    let plans = plan(&sites([0; 4], [1; 4]), need(9, 9), bounds);
+    let plans = plan(&engines_by_site([0; 4], [1; 4]), target(9, 9), bounds);
     assert_eq!(plans.iter().map(|it| it.on_demand).sum::<u32>(), 9);
     assert!(plans.iter().all(|it| it.spot == 0));
 }
 
 #[test]
 fn cheap_data_centres_come_first() {
-    let plans = plan(&sites([0; 4], [0; 4]), need(10, 0), BOUNDS);
+    let plans = plan(&engines_by_site([0; 4], [0; 4]), target(10, 0), BOUNDS);
     let spot = |name: &str| plans.iter().find(|it| it.data_centre.as_str() == name).unwrap().spot;
     assert!(spot("b") >= spot("c"), "{plans:?}");
 }
@@ -212,7 +219,7 @@
     ServingEngines { spot, total: spot, on_demand: 0 }
 }
 
-/// A hundred requests a second, most of them short.
+/// A hundred requests per second, most of them short.
 fn arrivals(times: f64) -> Arrivals {
     let mut came = Arrivals::default();
     for place in 0..100 {
@@ -247,11 +254,12 @@
     let mut demand = DemandEstimator::default();
     assert_eq!(demand.target(0.0, 0.0, &MODEL, &MARKET, ServingEngines::default(), 0), None);
     demand.record(0.0, 0.0, relay + relay);
-    let need = demand.target(1.5, 1.2, &MODEL, &MARKET, ServingEngines::default(), 0).unwrap();
-    assert!(need.spot_target > need.min_total && need.min_total > 0, "{need:?}");
-    // With enough reclaimable ones, none is needed on demand.
-    let served =
-        demand.target(1.5, 1.2, &MODEL, &MARKET, all(need.spot_target), need.spot_target).unwrap();
+    let target = demand.target(1.5, 1.2, &MODEL, &MARKET, ServingEngines::default(), 0).unwrap();
+    assert!(target.spot_target > target.min_total && target.min_total > 0, "{target:?}");
+    // With enough spot engines, none is needed on demand.
+    let served = demand
+        .target(1.5, 1.2, &MODEL, &MARKET, all(target.spot_target), target.spot_target)
+        .unwrap();
     assert_eq!(served.min_total, 0);
     assert_eq!(demand.target(1.0, 1.2, &MODEL, &MARKET, ServingEngines::default(), 0), None);
     assert_eq!(
@@ -260,10 +268,11 @@
     );
 }
 
-/// All data centres go at once. Until engines that were ordered then serve, those who are refused come back,
-/// and nothing is learned, since nothing is served.
+/// All data centres lose their spot engines at once. Until the engines ordered then serve, rejected callers
+/// retry and nothing is learned, as nothing is served. The first order must nevertheless cover nearly the
+/// whole gap.
 #[test]
-fn whole_gap_is_ordered_at_once() {
+fn outage_of_all_data_centres_is_covered_by_the_first_order() {
     let model = EngineModel { late: 0.02, ..MODEL };
     let mut demand = DemandEstimator::default();
     demand.record(0.0, 0.0, offered(1.0));
@@ -283,37 +292,41 @@
         .collect();
     let most = orders.iter().max().unwrap();
     assert!(orders[0] * 10 >= most * 9, "{orders:?}");
-    // It isn't ordered twice over.
+    // The gap must not be ordered twice.
     let calm =
         demand.target(4.0, 0.0, &model, &MARKET, ServingEngines::default(), 30).unwrap().min_total;
-    assert!(orders[0] <= calm * 3 / 2, "{orders:?} where {calm} are worth their price in the end");
+    assert!(orders[0] <= calm * 3 / 2, "{orders:?} while {calm} engines are worth their price");
 }
 
-/// One data centre of several stays gone for long: what came before it fades, as the peak does without it.
+/// One of several data centres has no spot engines for long. The peak from before must decay as it would
+/// without the outage.
 #[test]
-fn long_absence_does_not_hold_the_need_at_the_days_peak() {
+fn long_outage_does_not_keep_the_target_at_an_old_peak() {
     let mut demand = DemandEstimator::default();
     demand.record(0.0, 0.0, offered(2.0));
     demand.target(0.0, 0.0, &MODEL, &MARKET, all(30), 30).unwrap();
     let gone = Market { forecast: LossForecast { lost: 1, ..LossForecast::no_loss(3) }, ..MARKET };
-    let ample = |demand: &mut DemandEstimator, now, market: &Market| {
+    let spot_target = |demand: &mut DemandEstimator, now, market: &Market| {
         demand.record(now, 0.0, offered(0.2));
         demand.target(now, 0.0, &MODEL, market, all(30), 0).unwrap().spot_target
     };
-    let high = ample(&mut demand, 1.0, &gone);
-    let long = ample(&mut demand, 300.0, &gone);
+    let high = spot_target(&mut demand, 1.0, &gone);
+    let long = spot_target(&mut demand, 300.0, &gone);
     let mut calm = DemandEstimator::default();
     calm.record(0.0, 0.0, offered(0.2));
-    let low = ample(&mut calm, 300.0, &MARKET);
-    assert!(high > 2 * long && long <= low + 1, "{high}, {long} after long, {low} without it");
+    let low = spot_target(&mut calm, 300.0, &MARKET);
+    assert!(
+        high > 2 * long && long <= low + 1,
+        "{high}, {long} after 300 s, {low} without the outage"
+    );
 }
 
 #[test]
-fn no_reclaimable_engine_is_given_up_while_none_are_to_be_had() {
-    let dry = sites([0, 6, 6, 4], [0; 4]);
+fn no_spot_engine_is_given_up_during_an_outage() {
+    let dry = engines_by_site([0, 6, 6, 4], [0; 4]);
     let spots = |scarce| {
-        let need = EngineTarget { keep_spot: scarce, ..need(8, 0) };
-        let plans = plan(&dry, need, BOUNDS);
+        let target = EngineTarget { keep_spot: scarce, ..target(8, 0) };
+        let plans = plan(&dry, target, BOUNDS);
         ["a", "b", "c", "d"]
             .map(|name| plans.iter().find(|it| it.data_centre.as_str() == name).unwrap().spot)
     };
@@ -322,17 +335,17 @@
 }
 
 #[test]
-fn peak_fades_slowly() {
+fn peak_decays_slowly() {
     let mut demand = DemandEstimator::default();
-    let ample = |demand: &mut DemandEstimator, now| {
+    let spot_target = |demand: &mut DemandEstimator, now| {
         demand.target(now, 0.0, &MODEL, &MARKET, ServingEngines::default(), 0).unwrap().spot_target
     };
     demand.record(0.0, 0.0, offered(2.0));
-    let high = ample(&mut demand, 0.0);
+    let high = spot_target(&mut demand, 0.0);
     demand.record(5.0, 0.0, offered(0.2));
-    let later = ample(&mut demand, 5.0);
+    let later = spot_target(&mut demand, 5.0);
     demand.record(200.0, 0.0, offered(0.2));
-    let end = ample(&mut demand, 200.0);
+    let end = spot_target(&mut demand, 200.0);
     assert!(high > later && later > end, "{high} {later} {end}");
 }
 
@@ -348,13 +361,13 @@
         load(1.0, &model).cheapest_count(0, 1_000, 1.0, 0.5)
     });
     assert!(counts.windows(2).all(|pair| pair[0] > pair[1]), "{counts:?}");
-    // Twice the load is worth less than twice the engines: more of them even out waits.
+    // Twice the load needs less than twice the engines, as more engines even out the queueing delays.
     let [one, two] = [1.0, 2.0].map(|times| load(times, &MODEL).cheapest_count(0, 1_000, 1.0, 0.5));
     assert!(one < two && two <= 2 * one, "{one} {two}");
 }
 
 #[test]
-fn further_engine_is_bought_as_long_as_it_gains_more_than_it_costs() {
+fn engines_are_added_while_each_saves_more_than_it_costs() {
     let load = load(1.0, &MODEL);
     for (price, weight) in [(1.0, 0.5), (0.15, 0.5), (1.0, 5.0), (3.0, 0.1)] {
         let count = load.cheapest_count(0, 1_000, price, weight);
@@ -366,8 +379,8 @@
 }
 
 proptest! {
-    /// Engines and loads over two orders of magnitude: the number is the cheapest of all there may be,
-    /// also where nearly all requests come late with those that serve.
+    /// For engines and loads over two orders of magnitude, the computed count has the lowest cost of all,
+    /// even if nearly all requests are late with the engines that serve.
     #[test]
     fn number_of_engines_is_the_cheapest_of_all(
         rate in 3_000.0..300_000.0_f64,
@@ -387,11 +400,11 @@
         let cost = |count: u32| price * f64::from(count) + weight * load.late_rate(count);
         let best = (least..=most).map(cost).fold(f64::INFINITY, f64::min);
         prop_assert!((least..=most).contains(&count), "{count} from {least} on");
-        prop_assert!(cost(count) <= best + 1e-9, "{count}: {} in place of {best}", cost(count));
+        prop_assert!(cost(count) <= best + 1e-9, "{count}: {} instead of {best}", cost(count));
     }
 }
 
-/// Erlang's chance to wait at `slots` places that bring `load` each.
+/// Erlang C: the probability to wait with `slots` servers at a utilisation of `load`.
 fn erlang(slots: u32, load: f64) -> f64 {
     let offered = load * f64::from(slots);
     let blocked = (1..=slots)
@@ -399,7 +412,7 @@
     blocked / (1.0 - load * (1.0 - blocked))
 }
 
-/// A load of answers that hold places for seconds and hardly any reading.
+/// A load of answers that hold slots for seconds and need hardly any prefill.
 fn long_answers(rate: f64, slots: f64, slack: f64) -> ServiceLoad {
     let model = EngineModel { rate: 1e9, pace: 0.035, events: 0.12, ..MODEL };
     let came = Arrivals {
@@ -415,7 +428,7 @@
 }
 
 #[test]
-fn wait_for_a_place_is_erlangs() {
+fn slot_wait_follows_erlang_c() {
     for slots in [4_u32, 12, 32, 128] {
         for engines in [20, 60, 200] {
             let load = long_answers(100.0, f64::from(slots), 0.02);
@@ -424,16 +437,18 @@
                 continue;
             }
             let late = load.late_rate(engines) / load.requests;
-            assert!((late - erlang(slots, busy)).abs() < 0.06, "{slots} places, {busy}: {late}");
+            assert!(
+                (late - erlang(slots, busy)).abs() < 0.06,
+                "{slots} slots at utilisation {busy}: {late}"
+            );
         }
     }
 }
 
 proptest! {
-    /// Whether reading or places bind is the work's to say: enough are had for both, and the number is the
-    /// cheapest there may be.
+    /// The count satisfies both prefill and slots, whichever is the bottleneck, and is the cheapest one.
     #[test]
-    fn engines_hold_what_is_read_and_what_is_held(
+    fn engines_suffice_for_prefill_and_for_slots(
         rate in 5.0..400.0_f64,
         slots in 4.0..64.0_f64,
         reading in 0.05..20.0_f64,
@@ -446,14 +461,14 @@
         let count = load.cheapest_count(0, most, price, weight);
         let free = 1.0 - load.prefill_load / f64::from(count);
         let busy = load.slot_load / (free * slots * f64::from(count));
-        prop_assert!(free > 0.05 && busy < 1.0, "{count} engines: {free} free, {busy} of the places");
+        prop_assert!(free > 0.05 && busy < 1.0, "{count} engines: {free} free of prefill, slot utilisation {busy}");
         let cost = |count: u32| price * f64::from(count) + weight * load.late_rate(count);
         let least = (load.prefill_load / 0.9).ceil().max(1.0) as u32;
         let best = (least..=most).map(cost).fold(f64::INFINITY, f64::min);
         prop_assert!(cost(count) <= best + 1e-9 + 0.02 * best, "{count}: {} for {best}", cost(count));
     }
 
-    /// An engine's pace is learned from the streams that nothing held up, whatever befell the others.
+    /// An engine's pace is learned from unimpeded streams, regardless of delayed ones.
     #[test]
     fn pace_is_learned_within_15_percent(pace in 0.005..0.2_f64, busy in 0.0..0.6_f64, seed in any::<u64>()) {
         let mut rng = SmallRng::seed_from_u64(seed);
@@ -469,9 +484,9 @@
     }
 }
 
-/// On this work reading asks for 14 engines; they would have half of the places that the answers hold.
+/// Prefill alone needs 14 engines here, but they would have only half of the slots that the answers hold.
 #[test]
-fn long_answers_ask_for_places() {
+fn long_answers_need_slots() {
     let model = EngineModel { rate: 60_000.0, pace: 0.034, events: 0.12, ..MODEL };
     let came = Arrivals {
         requests: 376.0,
@@ -493,8 +508,8 @@
 }
 
 #[test]
-fn slow_engines_are_bought_until_they_serve_in_time() {
-    // With few of them nearly all requests are late: one more gains nothing, many gain most.
+fn slow_engines_are_added_until_they_serve_in_time() {
+    // With few engines nearly all requests are late: one more saves nothing, many more save a lot.
     let model = EngineModel { rate: 20_000.0, late: 0.9, ..MODEL };
     let offered = offered(1.0);
     let load = ServiceLoad::new(&offered, offered.prompt_tokens, &model, 40, 0.0).unwrap();
@@ -506,8 +521,8 @@
 }
 
 #[test]
-fn late_part_is_that_of_a_queue_with_one_server() {
-    // Prompts of one size and one engine: the mean wait follows Pollaczek and Khinchine.
+fn late_fraction_follows_a_single_server_queue() {
+    // Prompts of one size on one engine: the mean wait must follow Pollaczek-Khinchine.
     let (calls, tokens) = (10.0, 3_000.0);
     let mut came = Arrivals::default();
     (0..10).for_each(|_| came.record(tokens, 200.0, 1.0));
@@ -515,7 +530,7 @@
     (0..200).for_each(|_| offered.record(1.0, came));
     let load = ServiceLoad::new(&offered, offered.prompt_tokens, &MODEL, 0, 0.0).unwrap();
     let (busy, read) = (calls * tokens / MODEL.rate, tokens / MODEL.rate);
-    // The tail, integrated over all waits, is the mean wait.
+    // The integral of the tail over all waits is the mean wait.
     let mean = busy * load.residual_prefill / (1.0 - busy);
     assert!(
         (load.prefill_load - busy).abs() < 1e-6
@@ -525,12 +540,12 @@
 }
 
 #[test]
-fn what_is_held_before_any_traffic_is_a_smaller_part_of_a_larger_fleet() {
+fn relative_spare_before_any_traffic_shrinks_with_the_fleet() {
     let market =
         Market { max_per_data_centre: 10_000, data_centres: 6, surge_factor: 1.5, ..MARKET };
     let over =
         |engines: u32| f64::from(market.initial_spot_engines(engines)) / f64::from(engines) - 1.0;
-    // A few engines may all be needed, and those of one data centre lost.
+    // A small fleet may need all of its engines even after the loss of a data centre.
     assert!(over(9) >= 0.7, "{}", over(9));
     assert!(over(60) >= 0.7, "{}", over(60));
     assert!(over(2_930) < 0.15, "{}", over(2_930));
@@ -539,7 +554,8 @@
     assert!(counts.is_sorted());
 }
 
-/// What boxes report when `calls` requests a second have come since `first`, as a mean that began at nothing.
+/// The report of `calls` requests per second that started `since` seconds ago, with averages that start at
+/// zero.
 fn rising(calls: f64, since: f64) -> OfferedLoad {
     let part = 1.0 - (-since / 2.5_f64).exp();
     let tokens = 4_000.0;
@@ -554,7 +570,7 @@
 }
 
 #[test]
-fn need_of_a_large_fleet_is_known_within_its_first_seconds() {
+fn target_of_a_large_fleet_is_known_within_seconds() {
     let market = Market { max_per_data_centre: 10_000, data_centres: 6, ..MARKET };
     let need_at = |calls: f64, at: f64, age: f64| {
         let mut demand = DemandEstimator::default();
@@ -562,9 +578,9 @@
         demand.record(at, age, rising(calls, at - age));
         demand
             .target(at, 5.0, &MODEL, &market, ServingEngines::default(), 0)
-            .map(|need| need.spot_target)
+            .map(|target| target.spot_target)
     };
-    // Some requests a second say nothing in so short a time.
+    // A low request rate cannot be estimated in so short a time.
     assert_eq!(need_at(50.0, 2.0, 0.2), None);
     let late = need_at(500.0, 30.0, 0.5).unwrap();
     for (at, age) in [(1.6, 0.2), (2.0, 0.5), (3.0, 0.5), (4.0, 1.0)] {
@@ -575,8 +591,8 @@
 }
 
 #[test]
-fn number_of_thousands_is_found_by_comparing_hundreds() {
-    // Wherever numbers are compared that are spread, the best one costs as little as if all had been.
+fn sampled_search_finds_the_cheapest_count() {
+    // Sampling the counts must find one that costs as little as comparing all of them would.
     for times in [1.0, 7.0, 40.0, 160.0] {
         let load = load(times, &MODEL);
         let few = Market { max_per_data_centre: 40, data_centres: 6, ..MARKET };
