--- a/src/control/demand.rs
+++ b/src/control/demand.rs
@@ -104,9 +104,9 @@
     let tolerance = lead::tolerance(&node);
     let (grants, notes) = node.with_lead(term, |lead: &mut LeaderState| {
         let DemandRequest { box_id, life, turn, teams, relays, .. } = &demand;
-        lead.learn_relays(box_id, *life, *relays);
+        lead.record_relay_count(box_id, *life, *relays);
         let grants = lead.grant(box_id, *life, *turn, teams, tolerance);
-        (grants, lead.has_notes())
+        (grants, lead.has_pending_notes())
     });
     if notes {
         node.lacking.notify_one();
--- a/src/control/duties.rs
+++ b/src/control/duties.rs
@@ -101,7 +101,7 @@
         Ok(listing) => node.with_lead(term, |lead| {
             let now = Instant::now();
             let version = lead.list.apply_listing(term, listing, now);
-            for unread in lead.first_unread() {
+            for unread in lead.new_unreadable_entries() {
                 say_unread(node, &unread);
             }
             if let Some(version) = version {
@@ -159,7 +159,7 @@
                 Ok(DutyAnswer::Fenced) => OrderAnswer::Fenced,
                 Err(_) => OrderAnswer::Unknown,
             };
-            lead.spender.record_answer(lead.since.elapsed().as_secs_f64(), &order, answer);
+            lead.spender.record_answer(lead.started_at.elapsed().as_secs_f64(), &order, answer);
         });
     }
 }
@@ -177,7 +177,7 @@
     let settled = node.with_lead(term, |lead| lead.settled);
     let first = (settled.0 + 1).max((last + 1).saturating_sub(LOOK_BACK));
     for window in (first..=last).map(Window) {
-        let counts = node.with_lead(term, |lead| lead.counts(window));
+        let counts = node.with_lead(term, |lead| lead.usage_counts(window));
         if !report_one(node, client, term, Settle { window, counts }).await {
             return false;
         }
--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -1,8 +1,9 @@
-//! What the leader knows besides the log: what boxes told, the teams' levels, the list of backend servers.
-//! It answers boxes' words from it, and [`super::duties`] acts by it towards the platform.
+//! The leader's state outside the replicated log: the latest heartbeat data of each box, the teams' token buckets
+//! and the list of backend servers. Replies to heartbeats are built from it, and [`super::duties`] uses it for
+//! its calls to the platform.
 //!
-//! All of it is soft state of one term. A new leader learns it again from the boxes' beats, and acts
-//! on the platform only after the former one can no longer do so.
+//! This is soft state of one term and is never persisted. A new leader rebuilds it from heartbeats, and calls the
+//! platform only once the former leader's lease has ended.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet};
@@ -42,177 +43,183 @@
 use crate::sync::lock;
 use crate::units::UnixMillis;
 
-/// How long a relay without a list waits for the first one in a call: less than it waits for the answer.
-const LIST_WAIT: Duration = Duration::from_millis(250);
+/// How long the heartbeat of a relay that has no list is held until the first list is known. It has to be shorter
+/// than the relay's timeout for the call.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time between two lines about a team that is refused.
-const SAY_TIME: Duration = Duration::from_millis(500);
+/// Minimum time between two log lines about refused requests of one team.
+const REFUSAL_LOG_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time after which a relay's counts are forgotten.
-const FORGET_TIME: Duration = Duration::from_secs(40);
+/// How long the reports of a relay are kept after its last heartbeat.
+const REPORT_RETENTION: Duration = Duration::from_secs(40);
 
-/// Time between two looks at which relays are gone: a walk over all of them for each word would cost the
-/// leader relays times relays.
-const SWEEP_TIME: Duration = Duration::from_millis(100);
+/// Minimum time between two removals of absent relays. Each scans all relays, so that one per heartbeat would make
+/// the leader's cost quadratic in the number of relays.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Services that no document names of which the group is had to keep a release in one term at most: entries of
-/// other writers may name any.
-const UNNAMED_LIMIT: usize = 64;
+/// Maximum number of services missing from the published document whose releases the group is asked to store in one
+/// term. The list has entries of other writers, which may name any number of services.
+const MAX_UNPUBLISHED_SERVICES: usize = 64;
 
-/// Entries of the list that cannot be read said in one term at most: whoever writes them may write many.
-const UNREAD_LIMIT: usize = 256;
+/// Maximum number of unreadable list entries logged in one term, since others write the list and may add any number.
+const MAX_LOGGED_UNREADABLE: usize = 256;
 
-/// What one life of a relay has told.
-struct BoxState {
-    heard: Instant,
-    /// The published document that it had.
+/// The latest reports of one incarnation of a relay.
+struct RelayState {
+    received_at: Instant,
+    /// The version of the published document that the relay had.
     document: Version,
     offered: BTreeMap<ServiceName, OfferedLoad>,
-    told: DeltaReceiver,
+    /// The usage counts and engine models merged from its delta reports.
+    deltas: DeltaReceiver,
 }
 
-/// What a team was refused of late.
+/// Sums up what a team was refused and limits how often that is logged.
 #[derive(Default)]
-struct Missed {
-    sum: f64,
-    said: Option<Instant>,
+struct RefusalLog {
+    refused: f64,
+    logged_at: Option<Instant>,
 }
 
-impl Missed {
-    /// One line for a team that is refused, at most one in [`SAY_TIME`].
-    fn note(&mut self, team: &TeamName, refused: f64, level: &TokenBucket) {
-        self.sum += refused;
-        let due = self.said.is_none_or(|said| said.elapsed() > SAY_TIME);
-        if self.sum > 0.0 && due {
+impl RefusalLog {
+    /// Adds `refused`, and logs the sum unless the last log line is younger than [`REFUSAL_LOG_INTERVAL`].
+    fn record(&mut self, team: &TeamName, refused: f64, bucket: &TokenBucket) {
+        self.refused += refused;
+        let due = self.logged_at.is_none_or(|logged_at| logged_at.elapsed() > REFUSAL_LOG_INTERVAL);
+        if self.refused > 0.0 && due {
             tracing::info!(
-                event = "team_refused", %team, units = self.sum as u64, left = level.available() as i64,
-                whole = level.available_and_leased() as i64,
+                event = "team_refused", %team, units = self.refused as u64, left = bucket.available() as i64,
+                whole = bucket.available_and_leased() as i64,
             );
-            *self = Self { sum: 0.0, said: Some(Instant::now()) };
+            *self = Self { refused: 0.0, logged_at: Some(Instant::now()) };
         }
     }
 }
 
-/// The soft state of one term.
+/// The leader's soft state of one term.
 pub(crate) struct LeaderState {
     term: Term,
-    pub(super) since: Instant,
-    /// Whether nobody can have carried out a duty before: nothing was published yet.
-    first: bool,
-    words: BTreeMap<(BoxId, Incarnation), BoxState>,
+    pub(super) started_at: Instant,
+    /// Whether no leader can have called the platform before this one, as nothing was published when the term began.
+    is_first: bool,
+    relay_states: BTreeMap<(BoxId, Incarnation), RelayState>,
     pub(super) presence: RelayPresence,
-    swept: Instant,
-    pub(super) levels: BTreeMap<TeamName, TokenBucket>,
-    /// The table whose teams have levels.
-    levelled: Option<Version>,
-    missed: BTreeMap<TeamName, Missed>,
-    /// The teams whose levels may be low, as the group has noted; `None` until that is known.
-    pub(super) low: Option<LowTeams>,
-    /// Those that are to be noted.
-    pub(super) lacking: LowTeams,
+    swept_at: Instant,
+    pub(super) buckets: BTreeMap<TeamName, TokenBucket>,
+    /// The version of the route table whose teams have token buckets.
+    buckets_version: Option<Version>,
+    refusal_logs: BTreeMap<TeamName, RefusalLog>,
+    /// The teams that the replicated notes mark as low on tokens; `None` until the notes were read.
+    pub(super) low_teams: Option<LowTeams>,
+    /// The teams to be marked as low with the next note.
+    pub(super) teams_to_note: LowTeams,
     pub(super) table: Option<Arc<RouteTable>>,
     pub(super) list: ListRegistry,
-    /// Services that are listed and were not published when their release was noted.
-    unnamed: BTreeSet<ServiceName>,
-    /// The entries that cannot be read and were said.
-    unread: BTreeSet<UnreadableEntry>,
-    /// What backend servers told the relays of their loads.
+    /// Listed services that were not in the published document when storing their release was allowed; see
+    /// [`MAX_UNPUBLISHED_SERVICES`].
+    unpublished: BTreeSet<ServiceName>,
+    /// The unreadable list entries that were logged already.
+    logged_unreadable: BTreeSet<UnreadableEntry>,
+    /// Loads that the backend servers reported to the relays.
     pub(super) loads: LoadPool,
     pub(super) settled: Window,
     pub(super) spender: Spender,
-    /// What is known of engines, and what of it the group has kept.
-    pub(super) engines: Models,
-    /// What the leader learns itself, from the samples of boxes without a fit of their own.
+    /// The engine models pooled over all relays.
+    pub(super) models: Models,
+    /// Models fitted by the leader, from the samples of boxes that have too few for a fit of their own.
     learners: BTreeMap<ServiceName, EngineLearner>,
-    spread: ModelsBroadcast,
-    pub(super) kept: Models,
-    /// What the group has kept of dry spells; `None` until that is known.
-    pub(super) spells: Option<Spells>,
-    /// When the group was asked to keep any of it last.
-    pub(super) engines_noted: Option<Instant>,
+    models_broadcast: ModelsBroadcast,
+    /// The engine models stored by the group.
+    pub(super) stored_models: Models,
+    /// The histories of spot capacity outages stored by the group; `None` until the notes were read.
+    pub(super) stored_outages: Option<Spells>,
+    /// When the group was last asked to store engine models or outage histories.
+    pub(super) models_stored_at: Option<Instant>,
     pub(super) rollouts: Rollouts,
     pub(super) quarantine: FleetQuarantine,
     limit_leases: LimitLeases,
 }
 
 impl LeaderState {
-    fn new(term: Term, first: bool, weights: Weights) -> Self {
+    fn new(term: Term, is_first: bool, weights: Weights) -> Self {
         Self {
             term,
-            since: Instant::now(),
-            first,
-            words: BTreeMap::new(),
+            started_at: Instant::now(),
+            is_first,
+            relay_states: BTreeMap::new(),
             presence: RelayPresence::new(Instant::now()),
-            swept: Instant::now(),
-            levels: BTreeMap::new(),
-            levelled: None,
-            missed: BTreeMap::new(),
-            low: None,
-            lacking: LowTeams::new(),
+            swept_at: Instant::now(),
+            buckets: BTreeMap::new(),
+            buckets_version: None,
+            refusal_logs: BTreeMap::new(),
+            low_teams: None,
+            teams_to_note: LowTeams::new(),
             table: None,
             list: ListRegistry::default(),
-            unnamed: BTreeSet::new(),
-            unread: BTreeSet::new(),
+            unpublished: BTreeSet::new(),
+            logged_unreadable: BTreeSet::new(),
             loads: LoadPool::default(),
             settled: Window(0),
-            spender: Spender::new(first, weights),
-            engines: Models::new(),
+            spender: Spender::new(is_first, weights),
+            models: Models::new(),
             learners: BTreeMap::new(),
-            spread: ModelsBroadcast::default(),
-            kept: Models::new(),
-            spells: None,
-            engines_noted: None,
+            models_broadcast: ModelsBroadcast::default(),
+            stored_models: Models::new(),
+            stored_outages: None,
+            models_stored_at: None,
             rollouts: Rollouts::default(),
             quarantine: FleetQuarantine::default(),
             limit_leases: LimitLeases::default(),
         }
     }
 
-    /// Whether duties may be carried out: something is published, and no former holder can still act.
+    /// Whether this leader may call the platform: a route table is known, and the lease of any former leader has ended.
     fn may_act(&self, lease: Duration) -> bool {
-        self.table.is_some() && (self.first || self.since.elapsed() > lease)
+        self.table.is_some() && (self.is_first || self.started_at.elapsed() > lease)
     }
 
-    /// Whether this leader can tell a relay which servers there are and which releases get requests. It tells
-    /// both or neither: a box that knew the servers only would send to any release.
+    /// Whether this leader knows both the servers and the releases in force. Relays get both or neither: with
+    /// the servers alone, a box would send requests to any release.
     fn is_informed(&self) -> bool {
         !self.list.is_empty() && self.rollouts.is_known()
     }
 
-    /// Takes a relay's word and answers it.
+    /// Applies the report of a relay and builds the reply.
     fn handle_heartbeat(&mut self, beat: BoxHeartbeat, tolerance: Tolerance) -> HeartbeatReply {
         let now = Instant::now();
         self.sweep(now);
         let box_id = beat.box_id.clone();
-        let own = beat.data_centre.clone();
+        let data_centre = beat.data_centre.clone();
         let key = (box_id.clone(), beat.life);
-        self.learn_relays(&box_id, beat.life, beat.relays);
+        self.record_relay_count(&box_id, beat.life, beat.relays);
         let allowed = self.grant(&beat.box_id, beat.life, beat.turn, &beat.demand, tolerance);
-        let since = self.since.elapsed().as_secs_f64();
-        let releases = self.rollouts.hear(since, &key, &beat.trials);
-        let before = self.presence.record(&beat.box_id, now);
+        let elapsed = self.started_at.elapsed().as_secs_f64();
+        let releases = self.rollouts.hear(elapsed, &key, &beat.trials);
+        let last_heard = self.presence.record(&beat.box_id, now);
         self.loads.record_samples(beat.loads, now);
         self.record_samples(beat.samples);
         self.record_incarnations(beat.lives, now);
-        let quarantine = self.record_ends(beat.quarantine, now);
-        let (whole, turn, after) = (beat.whole, beat.turn, beat.after);
-        let news = ReportDelta {
-            is_full: whole,
-            seq: turn,
-            base_seq: after,
+        let quarantine = self.apply_quarantine_report(beat.quarantine, now);
+        let delta = ReportDelta {
+            is_full: beat.whole,
+            seq: beat.turn,
+            base_seq: beat.after,
             usage: beat.usage,
             engines: beat.engines,
         };
-        let mut told = self.words.remove(&key).map(|word| word.told).unwrap_or_default();
-        let lacks = told.apply(news, self.settled);
-        let word = BoxState { heard: now, document: beat.document, offered: beat.offered, told };
-        self.words.insert(key, word);
+        let mut deltas =
+            self.relay_states.remove(&key).map(|state| state.deltas).unwrap_or_default();
+        let lacks = deltas.apply(delta, self.settled);
+        let state =
+            RelayState { received_at: now, document: beat.document, offered: beat.offered, deltas };
+        self.relay_states.insert(key, state);
         let relays = self.presence.estimated_relays(now);
-        let index = self.is_informed().then(|| self.list.index_for_location(&box_id, own.as_ref()));
+        let index =
+            self.is_informed().then(|| self.list.index_for_location(&box_id, data_centre.as_ref()));
         let parts = index.as_ref().map(|index| self.list.listed_parts(index)).unwrap_or_default();
-        let loads = self.draw_loads(&parts, now, before);
+        let loads = self.sample_loads(&parts, now, last_heard);
         let list = index.filter(|index| beat.list != Some(index.hash));
-        let engines = self.spread.news(&self.engines, beat.models);
+        let engines = self.models_broadcast.news(&self.models, beat.models);
         HeartbeatReply {
             list,
             document: Version(0),
@@ -230,10 +237,14 @@
         }
     }
 
-    /// Takes a box's word of servers that ended; the word of held requests that is news to it.
-    fn record_ends(&mut self, word: QuarantineReport, now: Instant) -> Option<QuarantineUpdate> {
-        let (has, unix) = (word.known_version, UnixMillis::now());
-        self.quarantine.apply_report(word, now);
+    /// Applies a box's report of server crashes, and returns the quarantined requests if the box has an older version.
+    fn apply_quarantine_report(
+        &mut self,
+        report: QuarantineReport,
+        now: Instant,
+    ) -> Option<QuarantineUpdate> {
+        let (known_version, unix) = (report.known_version, UnixMillis::now());
+        self.quarantine.apply_report(report, now);
         let changes = self.quarantine.evaluate(now, unix);
         for request in &changes.added {
             let ends = self.quarantine.crash_count(request);
@@ -242,45 +253,48 @@
         for request in &changes.lifted {
             tracing::warn!(event = "request_judged", %request, held = false);
         }
-        self.quarantine.update_for(has, rand::random(), unix)
+        self.quarantine.update_for(known_version, rand::random(), unix)
     }
 
-    /// Leases a box shares of the limits that servers named to it.
+    /// Leases a box its shares of the request limits that backend servers set.
     pub(super) fn lease_limits(
         &mut self,
         origin: ReportOrigin<'_>,
         reports: &[LimitReport],
         now: Instant,
     ) -> Vec<LimitLease> {
-        let is_taking_over = !self.first && self.since.elapsed() < LEASE_DURATION;
+        let is_taking_over = !self.is_first && self.started_at.elapsed() < LEASE_DURATION;
         self.limit_leases.handle_reports(origin, reports, is_taking_over, now)
     }
 
-    /// Some loads of the servers of a box's parts, fewer where it was answered just before.
-    fn draw_loads(
+    /// A random sample of the loads of the servers in a box's parts, smaller if `last_heard` is recent.
+    fn sample_loads(
         &self,
         parts: &[(ContentHash, Vec<&BackendId>)],
         now: Instant,
-        before: Option<Instant>,
+        last_heard: Option<Instant>,
     ) -> Vec<PartLoads> {
         let listed: Vec<_> = parts.iter().flat_map(|(_, servers)| servers).copied().collect();
-        let mut drawn = self.loads.sample(&listed, now, rand::random());
-        drawn.truncate(loads::due_samples(before.map(|before| now - before)));
-        part_loads::to_part_loads(&drawn, parts)
+        let mut sampled = self.loads.sample(&listed, now, rand::random());
+        sampled.truncate(loads::due_samples(last_heard.map(|last_heard| now - last_heard)));
+        part_loads::to_part_loads(&sampled, parts)
     }
 
-    /// The entries of the last reading of the list that cannot be read, each said once in a term.
-    pub(super) fn first_unread(&mut self) -> Vec<UnreadableEntry> {
-        let mut first = Vec::new();
-        for unread in self.list.unreadable() {
-            if self.unread.len() < UNREAD_LIMIT && self.unread.insert(unread.clone()) {
-                first.push(unread.clone());
+    /// The unreadable entries of the last listing that were not returned before in this term, up to
+    /// [`MAX_LOGGED_UNREADABLE`].
+    pub(super) fn new_unreadable_entries(&mut self) -> Vec<UnreadableEntry> {
+        let mut added = Vec::new();
+        for entry in self.list.unreadable() {
+            if self.logged_unreadable.len() < MAX_LOGGED_UNREADABLE
+                && self.logged_unreadable.insert(entry.clone())
+            {
+                added.push(entry.clone());
             }
         }
-        first
+        added
     }
 
-    /// Learns from a relay's samples; of services that no document names nothing is kept.
+    /// Feeds a relay's samples to the learners, ignoring services that the published document lacks.
     fn record_samples(&mut self, samples: BTreeMap<ServiceName, Vec<Sample>>) {
         let Some(table) = &self.table else {
             return;
@@ -293,36 +307,41 @@
         }
     }
 
-    /// Takes a relay's words of lives. All relays hear of them with the next reading of the list.
+    /// Applies a relay's reports of server incarnations. The next listing passes them on to all relays.
     fn record_incarnations(&mut self, lives: Vec<IncarnationReport>, now: Instant) {
-        for told in lives {
-            if self.list.apply_incarnation(&told, now) == lives::IncarnationUpdate::Restarted {
-                tracing::info!(event = "backend_server_restarted", backend_server = %told.server);
-                self.loads.restart(told.server, now);
+        for report in lives {
+            if self.list.apply_incarnation(&report, now) == lives::IncarnationUpdate::Restarted {
+                tracing::info!(event = "backend_server_restarted", backend_server = %report.server);
+                self.loads.restart(report.server, now);
             }
         }
     }
 
-    /// Forgets the relays that are gone, at most once in [`SWEEP_TIME`].
+    /// Removes absent relays, at most once per [`SWEEP_INTERVAL`].
     fn sweep(&mut self, now: Instant) {
-        if now - self.swept < SWEEP_TIME {
+        if now - self.swept_at < SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
+        self.swept_at = now;
         self.presence.remove_absent(now);
-        self.words.retain(|_, word| word.heard + FORGET_TIME > now);
+        self.relay_states.retain(|_, state| state.received_at + REPORT_RETENTION > now);
     }
 
-    /// Takes how many relays a former leader told a box of, with its first message of any kind: what the
-    /// others may still have on lease stands against what comes in. Later ones tell what this leader has said
-    /// itself.
-    pub(super) fn learn_relays(&mut self, box_id: &BoxId, life: Incarnation, relays: Option<u32>) {
-        if !self.words.contains_key(&(box_id.clone(), life)) {
+    /// Records the number of relays that the former leader told a box. This leader assumes that so many relays
+    /// still hold leases until it has heard from them. Only the first message of a box counts, of any kind:
+    /// later ones repeat what this leader said itself.
+    pub(super) fn record_relay_count(
+        &mut self,
+        box_id: &BoxId,
+        life: Incarnation,
+        relays: Option<u32>,
+    ) {
+        if !self.relay_states.contains_key(&(box_id.clone(), life)) {
             self.presence.record_told(box_id, relays);
         }
     }
 
-    /// What a box may use of its teams' limits, by its demand in report `turn`.
+    /// Grants a box tokens of its teams' limits by its demand, where `turn` is the sequence number of its report.
     pub(super) fn grant(
         &mut self,
         box_id: &BoxId,
@@ -331,11 +350,11 @@
         teams: &BTreeMap<TeamName, TeamDemand>,
         tolerance: Tolerance,
     ) -> BTreeMap<TeamName, Grant> {
-        let now = self.since.elapsed().as_secs_f64();
+        let now = self.started_at.elapsed().as_secs_f64();
         let Some(table) = self.table.clone() else {
             return BTreeMap::new();
         };
-        self.follow_teams(&table, now);
+        self.sync_buckets(&table, now);
         let unheard = self.presence.unheard_relays();
         let mut allowed = BTreeMap::new();
         for (name, demand) in teams {
@@ -343,115 +362,124 @@
                 continue;
             };
             let limit = limit.with_tolerance(tolerance);
-            let level = self.levels.entry(name.clone()).or_insert_with(|| TokenBucket::new(now));
+            let bucket = self.buckets.entry(name.clone()).or_insert_with(|| TokenBucket::new(now));
             let report = token_bucket::TeamReport { incarnation: life, seq: turn, demand: *demand };
-            let missed = self.missed.entry(name.clone()).or_default();
-            missed.note(name, demand.refused, level);
-            let noted = match &self.low {
+            let refusal_log = self.refusal_logs.entry(name.clone()).or_default();
+            refusal_log.record(name, demand.refused, bucket);
+            let noted = match &self.low_teams {
                 None => ReserveNote::Unknown,
                 Some(low) if low.contains(name) => ReserveNote::Low,
                 Some(_) => ReserveNote::Intact,
             };
-            if let Some(grant) = level.handle_report(now, limit, noted, unheard, box_id, report) {
+            if let Some(grant) = bucket.handle_report(now, limit, noted, unheard, box_id, report) {
                 allowed.insert(name.clone(), grant);
             }
-            if level.needs_low_note() {
-                self.lacking.insert(name.clone());
+            if bucket.needs_low_note() {
+                self.teams_to_note.insert(name.clone());
             }
         }
         allowed
     }
 
-    /// Whether something waits for the group to note it.
-    pub(super) fn has_notes(&mut self) -> bool {
-        self.low.is_none()
-            || !self.lacking.is_empty()
+    /// Whether notes wait to be read from the group or proposed to it.
+    pub(super) fn has_pending_notes(&mut self) -> bool {
+        self.low_teams.is_none()
+            || !self.teams_to_note.is_empty()
             || self.quarantine.pending_change().is_some()
             || self.presence.next_stored(Instant::now()).is_some()
     }
 
-    /// Keeps a level for each team of the table, from the first word that this leader hears on: one
-    /// that nobody speaks of fills up.
-    fn follow_teams(&mut self, table: &RouteTable, now: f64) {
-        if self.levelled == Some(table.version) {
+    /// Keeps a token bucket for each team of the route table. They start with the first report that this leader gets,
+    /// since the bucket of a team without demand has to fill up too.
+    fn sync_buckets(&mut self, table: &RouteTable, now: f64) {
+        if self.buckets_version == Some(table.version) {
             return;
         }
-        self.levelled = Some(table.version);
-        self.levels.retain(|name, _| table.teams.contains_key(name));
-        self.missed.retain(|name, _| table.teams.contains_key(name));
+        self.buckets_version = Some(table.version);
+        self.buckets.retain(|name, _| table.teams.contains_key(name));
+        self.refusal_logs.retain(|name, _| table.teams.contains_key(name));
         for name in table.teams.keys() {
-            self.levels.entry(name.clone()).or_insert_with(|| TokenBucket::new(now));
+            self.buckets.entry(name.clone()).or_insert_with(|| TokenBucket::new(now));
         }
     }
 
-    /// Takes what the relays that are present say of the services' demand.
+    /// Passes the summed load that the present relays reported on to the spender, and pools their engine models.
     fn record_demand(&mut self) {
         let mut sums: BTreeMap<ServiceName, OfferedLoad> = BTreeMap::new();
-        let present = self.words.values().filter(|word| word.heard.elapsed() < ABSENCE_TIMEOUT);
-        for (service, offered) in present.flat_map(|word| &word.offered) {
+        let present = self
+            .relay_states
+            .values()
+            .filter(|state| state.received_at.elapsed() < ABSENCE_TIMEOUT);
+        for (service, offered) in present.flat_map(|state| &state.offered) {
             let sum = sums.entry(service.clone()).or_default();
             *sum = *sum + *offered;
         }
         let age =
             heartbeat_interval(self.presence.estimated_relays(Instant::now())).as_secs_f64() / 2.0;
-        self.spender.note(self.since.elapsed().as_secs_f64(), age, &sums);
-        self.pool_engines();
+        self.spender.note(self.started_at.elapsed().as_secs_f64(), age, &sums);
+        self.pool_models();
     }
 
-    /// Takes what the relays have learned of engines together. What the group has kept stands until
-    /// they have seen more than a few requests.
-    fn pool_engines(&mut self) {
+    /// Pools the engine models of the present relays and the leader. The models stored by the group remain in use
+    /// until the relays have seen more than a few requests.
+    fn pool_models(&mut self) {
         let now = Instant::now();
-        let present = || self.words.values().filter(move |word| word.heard + ABSENCE_TIMEOUT > now);
-        let words = || present().map(|word| &word.told.engines);
+        let present = || {
+            self.relay_states
+                .values()
+                .filter(move |state| state.received_at + ABSENCE_TIMEOUT > now)
+        };
+        let reported = || present().map(|state| &state.deltas.engines);
         let own: Models =
-            self.learners.iter().map(|(name, it)| (name.clone(), it.model())).collect();
-        let named = words().chain([&own]).flat_map(|models| models.keys().cloned());
-        for service in named.collect::<BTreeSet<_>>() {
-            let told = words().filter_map(|models| models.get(&service));
-            let model = EngineModel::pool_with(told, own.get(&service));
+            self.learners.iter().map(|(name, learner)| (name.clone(), learner.model())).collect();
+        let services = reported().chain([&own]).flat_map(|models| models.keys().cloned());
+        for service in services.collect::<BTreeSet<_>>() {
+            let models = reported().filter_map(|models| models.get(&service));
+            let model = EngineModel::pool_with(models, own.get(&service));
             if model.is_learned() {
-                self.engines.insert(service, model);
+                self.models.insert(service, model);
             }
         }
     }
 
-    /// The orders for engines that are due.
+    /// The orders for engines to place with the platform now.
     pub(super) fn orders(&mut self) -> Vec<Order> {
-        let now = self.since.elapsed().as_secs_f64();
+        let now = self.started_at.elapsed().as_secs_f64();
         let Some(table) = &self.table else {
             return Vec::new();
         };
-        // Before the first list nothing is known of engines, and none being listed says nothing.
+        // An empty list means that no listing has arrived yet, not that no engine runs.
         if self.list.is_empty() {
             return Vec::new();
         }
-        // The servers of a release that is being tried are the platform's to start and to stop.
+        // The platform itself starts and stops the servers of a release on trial.
         let listed = self.list.servers();
         let servers: Cow<'_, [Server]> = match self.rollouts.is_idle() {
             true => listed.into(),
             false => {
-                let stands = |it: &&Server| !self.rollouts.is_tried(&it.service, &it.release);
-                listed.iter().filter(stands).cloned().collect()
+                let is_counted =
+                    |server: &&Server| !self.rollouts.is_tried(&server.service, &server.release);
+                listed.iter().filter(is_counted).cloned().collect()
             }
         };
-        self.spender.orders(now, table, &self.engines, &servers)
+        self.spender.orders(now, table, &self.models, &servers)
     }
 
-    /// Whether the group keeps releases of a service: of those that are published, and of some that are not
-    /// yet, so that they serve from their publication on.
-    fn is_kept(&mut self, service: &ServiceName) -> bool {
+    /// Whether the group may store releases of a service: of each published one, and of up to
+    /// [`MAX_UNPUBLISHED_SERVICES`] others, so that these serve as soon as they are published.
+    fn may_store_releases(&mut self, service: &ServiceName) -> bool {
         let published =
             self.table.as_ref().is_some_and(|table| table.services.contains_key(service));
-        if published || self.unnamed.contains(service) {
+        if published || self.unpublished.contains(service) {
             return true;
         }
-        self.unnamed.len() < UNNAMED_LIMIT && self.unnamed.insert(service.clone())
+        self.unpublished.len() < MAX_UNPUBLISHED_SERVICES
+            && self.unpublished.insert(service.clone())
     }
 
-    /// The releases that run of the services of which the group knows none, if there are any: of each the
-    /// one with the most servers.
-    pub(super) fn unknown_releases(&mut self) -> Option<BTreeMap<ServiceName, Release>> {
+    /// For each listed service without a release in force, the release with the most servers, to be stored by the
+    /// group; `None` if there is no such service.
+    pub(super) fn releases_to_store(&mut self) -> Option<BTreeMap<ServiceName, Release>> {
         let mut counts: BTreeMap<&ServiceName, BTreeMap<&Release, usize>> = BTreeMap::new();
         for server in self.list.servers() {
             if self.rollouts.in_force(&server.service).is_none()
@@ -466,14 +494,15 @@
             Some((service.clone(), release.clone()))
         });
         let mut running: BTreeMap<_, _> = most.collect();
-        running.retain(|service, _| self.is_kept(service));
+        running.retain(|service, _| self.may_store_releases(service));
         (!running.is_empty()).then_some(running)
     }
 
-    /// The counts of a window over all boxes and lives.
-    pub(super) fn counts(&self, window: Window) -> BTreeMap<TeamName, u64> {
+    /// The teams' usage counts of a window, summed over all incarnations of all boxes.
+    pub(super) fn usage_counts(&self, window: Window) -> BTreeMap<TeamName, u64> {
         let mut sum = BTreeMap::new();
-        for teams in self.words.values().filter_map(|word| word.told.usage.get(&window)) {
+        for teams in self.relay_states.values().filter_map(|state| state.deltas.usage.get(&window))
+        {
             for (name, count) in teams {
                 *sum.entry(name.clone()).or_insert(0) += count;
             }
@@ -482,24 +511,24 @@
     }
 }
 
-/// Answers a relay's beat, if this process leads. One from a relay without a list waits for the first list
-/// of this term: a relay that has just started asks once, and hears as soon as there is something to
-/// hear.
+/// Answers a relay's heartbeat, if this process leads. The heartbeat of a relay without a list waits up to
+/// [`FIRST_LIST_TIMEOUT`] for the first list of this term, so that a relay that has just started gets it without
+/// polling.
 pub(crate) async fn handle_heartbeat(
     node: Arc<Node>,
     beat: BoxHeartbeat,
 ) -> Result<HeartbeatReply, Unanswered> {
     let term = node.leading_term().await.ok_or(Unanswered::NotLeader(None))?;
     if beat.list.is_none() {
-        wait_listed(&node, term).await;
+        wait_for_list(&node, term).await;
     }
-    // The age first: the document is at least as new.
+    // Read before the document, so that the document is at least as new as the age says.
     let age = node.board.age().filter(|_| node.board.revision() == beat.revision);
     let age = age.map(|age| age.as_millis() as u64);
     let document = node.board.document().version;
     let data_centre = beat.whole.then(|| node.settings.node.data_centre.clone());
     let noted = node.board.quarantine();
-    let (reply, is_lacking) = node.with_lead(term, |lead| {
+    let (reply, has_notes) = node.with_lead(term, |lead| {
         if lead.quarantine.is_known() {
             lead.quarantine.apply_replicated(noted);
         }
@@ -509,26 +538,26 @@
             data_centre,
             ..lead.handle_heartbeat(beat, tolerance(&node))
         };
-        (reply, lead.has_notes())
+        (reply, lead.has_pending_notes())
     });
-    if is_lacking {
+    if has_notes {
         node.lacking.notify_one();
     }
     Ok(reply)
 }
 
-/// Waits until the leader of `term` has learned something more of servers and releases, at most
-/// [`LIST_WAIT`].
-async fn wait_listed(node: &Node, term: Term) {
+/// Returns at once if the leader of `term` knows the servers and releases; otherwise waits for the next change to
+/// them, at most [`FIRST_LIST_TIMEOUT`].
+async fn wait_for_list(node: &Node, term: Term) {
     let mut listed = pin!(node.listed.notified());
     listed.as_mut().enable();
     if !node.with_lead(term, |lead| lead.is_informed()) {
-        let _ = tokio::time::timeout(LIST_WAIT, listed).await;
+        let _ = tokio::time::timeout(FIRST_LIST_TIMEOUT, listed).await;
     }
 }
 
-/// Gives the contents of parts of the list of backend servers, if this process leads.
-pub(crate) async fn give_parts(
+/// Returns the contents of parts of the list of backend servers, if this process leads.
+pub(crate) async fn packed_parts(
     node: Arc<Node>,
     wanted: Vec<PartId>,
 ) -> Result<PackedParts, Unanswered> {
@@ -536,6 +565,7 @@
     Ok(node.with_lead(term, |lead| lead.list.packed_parts(&wanted, Instant::now())))
 }
 
+/// The tolerance for the teams' limits from the settings.
 pub(super) fn tolerance(node: &Node) -> Tolerance {
     let quota = node.settings.quota;
     Tolerance {
@@ -546,10 +576,10 @@
 }
 
 impl Node {
-    /// The term in which this process may carry out duties.
+    /// The term in which this process leads and may call the platform, if any.
     pub(super) async fn acting_term(&self, settings: &CloudSettings) -> Option<Term> {
         let term = self.leading_term().await?;
-        follow_table(self, term);
+        load_route_table(self, term);
         let may_act = self.with_lead(term, |lead| {
             lead.record_demand();
             lead.may_act(settings.lease.duration())
@@ -557,18 +587,21 @@
         may_act.then_some(term)
     }
 
-    /// How many boxes that were heard lately had an older document than the newest, where this process leads.
+    /// The number of present boxes whose document is older than the newest; `None` where this process does not lead.
     pub(crate) fn boxes_behind(&self) -> Option<usize> {
         let newest = self.board.document().version;
         let held = lock(&self.lead);
         let lead = held.as_ref().filter(|lead| self.board.leading() == Some(lead.term))?;
-        let present = lead.words.values().filter(|word| word.heard.elapsed() < ABSENCE_TIMEOUT);
-        Some(present.filter(|word| word.document < newest).count())
+        let present = lead
+            .relay_states
+            .values()
+            .filter(|state| state.received_at.elapsed() < ABSENCE_TIMEOUT);
+        Some(present.filter(|state| state.document < newest).count())
     }
 
-    /// Runs `f` with the soft state of the term this process leads in.
+    /// Runs `f` with the soft state of `term`, which starts empty if the state held is of another term.
     pub(super) fn with_lead<R>(&self, term: Term, f: impl FnOnce(&mut LeaderState) -> R) -> R {
-        let first = self.board.document().version.0 == 0;
+        let is_first = self.board.document().version.0 == 0;
         let weights = self.settings.cloud.as_ref().map(|cloud| Weights {
             late: cloud.late_weight.duration().as_secs_f64(),
             surge: cloud.surge,
@@ -581,14 +614,15 @@
         }
         let new = || {
             let list = ListRegistry::new(self.settings.regions.clone());
-            LeaderState { list, ..LeaderState::new(term, first, weights) }
+            LeaderState { list, ..LeaderState::new(term, is_first, weights) }
         };
         f(held.get_or_insert_with(new))
     }
 }
 
-/// Keeps the teams' limits at those of the published document.
-pub(super) fn follow_table(node: &Node, term: Term) {
+/// Reads the route table from the published document where the leader's one is older, so that it uses the current
+/// limits. An invalid document is logged and leaves the table as it was.
+pub(super) fn load_route_table(node: &Node, term: Term) {
     let document = node.board.document();
     let held = node.with_lead(term, |lead| lead.table.as_ref().map(|table| table.version));
     if document.version.0 == 0 || held == Some(document.version) {
--- a/src/control/notes.rs
+++ b/src/control/notes.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use super::duties::SETTLE_TIME;
-use super::lead::{LeaderState, follow_table, tolerance};
+use super::lead::{LeaderState, load_route_table, tolerance};
 use crate::decide::hazard::OutageHistory;
 use crate::decide::token_bucket::{ReserveNote, Tolerance};
 use crate::ids::{ServiceName, TeamName};
@@ -32,7 +32,7 @@
         let Some(term) = node.leading_term().await else {
             continue;
         };
-        follow_table(&node, term);
+        load_route_table(&node, term);
         let note = node.with_lead(term, |lead| lead.next_note(tolerance(&node)));
         let Some(command) = note else {
             continue;
@@ -63,7 +63,7 @@
 impl LeaderState {
     /// What the group is to note, or to be asked for at the beginning of a term.
     fn next_note(&mut self, tolerance: Tolerance) -> Option<Command> {
-        if self.low.is_none() {
+        if self.low_teams.is_none() {
             return Some(Command::ReadNotes);
         }
         if let Some(change) = self.quarantine.pending_change() {
@@ -75,38 +75,38 @@
         if let Some(low) = self.next_low(tolerance) {
             return Some(Command::NoteLow(low));
         }
-        if self.engines_noted.is_some_and(|at| at.elapsed() < ENGINES_TIME) {
+        if self.models_stored_at.is_some_and(|at| at.elapsed() < ENGINES_TIME) {
             return None;
         }
         if let Some(spells) = self.next_spells() {
-            self.engines_noted = Some(Instant::now());
+            self.models_stored_at = Some(Instant::now());
             return Some(Command::NoteSpells(spells));
         }
-        let kept = |name: &ServiceName| self.kept.get(name).copied().unwrap_or_default();
-        let mut engines = self.engines.iter();
+        let kept = |name: &ServiceName| self.stored_models.get(name).copied().unwrap_or_default();
+        let mut engines = self.models.iter();
         if !engines.any(|(name, model)| model.differs(&kept(name))) {
             return None;
         }
-        self.engines_noted = Some(Instant::now());
-        Some(Command::NoteEngines(self.engines.clone()))
+        self.models_stored_at = Some(Instant::now());
+        Some(Command::NoteEngines(self.models.clone()))
     }
 
     fn take_notes(&mut self, notes: Notes) {
-        self.low = Some(notes.low);
+        self.low_teams = Some(notes.low);
         self.presence.record_stored(notes.relays);
         for (service, model) in &notes.engines {
-            self.engines.entry(service.clone()).or_insert(*model);
+            self.models.entry(service.clone()).or_insert(*model);
         }
-        self.kept = notes.engines;
-        if self.spells.is_none() {
+        self.stored_models = notes.engines;
+        if self.stored_outages.is_none() {
             self.spender.restore(&notes.spells);
         }
-        self.spells = Some(notes.spells);
+        self.stored_outages = Some(notes.spells);
     }
 
     /// What is known of dry spells, where it says something else than what the group has kept.
     fn next_spells(&self) -> Option<Spells> {
-        let kept = self.spells.as_ref()?;
+        let kept = self.stored_outages.as_ref()?;
         let spells = self.spender.learned();
         let differs = |(service, learned): (&ServiceName, &OutageHistory)| {
             learned.differs(&kept.get(service).cloned().unwrap_or_default())
@@ -117,15 +117,15 @@
     /// Looks at the levels of the teams that are not noted as low.
     fn look_at_levels(&mut self, now: f64, table: &RouteTable, tolerance: Tolerance) {
         let unheard = self.presence.unheard_relays();
-        let Some(low) = &self.low else {
+        let Some(low) = &self.low_teams else {
             return;
         };
-        for (name, level) in self.levels.iter_mut().filter(|(name, _)| !low.contains(*name)) {
+        for (name, level) in self.buckets.iter_mut().filter(|(name, _)| !low.contains(*name)) {
             let limit = table.teams.get(name).and_then(|team| team.limit());
             if let Some(limit) = limit {
                 level.tick(now, limit.with_tolerance(tolerance), ReserveNote::Intact, unheard);
                 if level.needs_low_note() {
-                    self.lacking.insert(name.clone());
+                    self.teams_to_note.insert(name.clone());
                 }
             }
         }
@@ -134,19 +134,19 @@
     /// Which teams' levels are to be noted as low, if not those that are. Teams that have recovered
     /// are held to their reserve at once: the group may take any time to forget them.
     fn next_low(&mut self, tolerance: Tolerance) -> Option<LowTeams> {
-        let now = self.since.elapsed().as_secs_f64();
+        let now = self.started_at.elapsed().as_secs_f64();
         let table = self.table.clone()?;
         self.look_at_levels(now, &table, tolerance);
-        let low = self.low.as_mut()?;
+        let low = self.low_teams.as_mut()?;
         let recovered = |name: &TeamName| {
             let limit = table.teams.get(name).and_then(|team| team.limit());
             let limit = limit.map(|limit| limit.with_tolerance(tolerance));
-            let level = self.levels.get(name);
+            let level = self.buckets.get(name);
             limit.zip(level).is_none_or(|(limit, level)| level.has_recovered(now, limit))
         };
         let before = low.len();
         low.retain(|name| !recovered(name));
-        let lacking = std::mem::take(&mut self.lacking);
+        let lacking = std::mem::take(&mut self.teams_to_note);
         let next: LowTeams = low.union(&lacking).cloned().collect();
         (next.len() != before || !lacking.is_subset(low)).then_some(next)
     }
--- a/src/control/rollouts.rs
+++ b/src/control/rollouts.rs
@@ -253,13 +253,13 @@
     let limit = limit_of(node);
     let applied = node.board.rollouts();
     node.with_lead(term, |lead| {
-        let now = lead.since.elapsed().as_secs_f64();
+        let now = lead.started_at.elapsed().as_secs_f64();
         match &lead.rollouts.book {
             None => return Some(Command::ReadRollouts),
             Some(book) if !Arc::ptr_eq(book, &applied) => lead.rollouts.take(applied),
             Some(_) => {}
         }
-        if let Some(running) = lead.unknown_releases() {
+        if let Some(running) = lead.releases_to_store() {
             return Some(Command::NoteReleases(running));
         }
         let list = &lead.list;
--- a/src/control/throttle.rs
+++ b/src/control/throttle.rs
@@ -144,9 +144,9 @@
     let (at, leases) = node.with_lead(term, |lead: &mut LeaderState| {
         let ThrottleRequest { box_id, life, turn, clock, limits, .. } = &request;
         let dated = clock.filter(|clock| clock.term == term);
-        let sent = dated.map(|clock| lead.since + clock.at.duration());
+        let sent = dated.map(|clock| lead.started_at + clock.at.duration());
         let origin = ReportOrigin { box_id, incarnation: *life, seq: *turn, sent_at: sent };
-        let at = Millis::from(now.saturating_duration_since(lead.since));
+        let at = Millis::from(now.saturating_duration_since(lead.started_at));
         (at, lead.lease_limits(origin, limits, now))
     });
     Ok(ThrottleReply { version: VERSION, clock: LeaderClock { term, at }, leases })
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -192,7 +192,7 @@
     node: Arc<Node>,
     Packed(wanted): Packed<Vec<PartId>>,
 ) -> Result<Result<PackedParts, Unanswered>, String> {
-    Ok(lead::give_parts(node, wanted).await)
+    Ok(lead::packed_parts(node, wanted).await)
 }
 
 async fn document_piece(
