--- a/src/relay/keeping.rs
+++ b/src/relay/keeping.rs
@@ -76,7 +76,7 @@
 
 /// The failure for a request that the box has no memory for. Nothing of it was forwarded.
 fn no_memory(room: MemoryLimitExceeded) -> Failure {
-    Failure::new(Kind::NoMemory, format!("the box has no room for it: {room}"))
+    Failure::new(Kind::NoMemory, format!("the box is out of memory for the request: {room}"))
         .after(Some(NO_MEMORY_RETRY_DELAY))
 }
 
@@ -158,7 +158,7 @@
                     limit: time,
                 }) {
                     let what = if passed < time { "cannot" } else { "did not" };
-                    let text = format!("the body {what} arrive in time: {came} bytes came");
+                    let text = format!("the body {what} arrive in time: received {came} bytes");
                     return Err(Failure::new(Kind::SlowCaller, text));
                 }
                 next_check = (Instant::now() + time / PROGRESS_CHECKS).min(until);
--- a/src/relay/quarantine.rs
+++ b/src/relay/quarantine.rs
@@ -26,7 +26,7 @@
     match left {
         None => Ok(()),
         Some(left) => {
-            let text = "backend servers ended under this request: it is not run again for now";
+            let text = "the request is quarantined because backend servers ended while they ran it";
             Err(Failure::new(Kind::Quarantined, text).after(Some(left)))
         }
     }
--- a/tests/distance_relay.rs
+++ b/tests/distance_relay.rs
@@ -1,4 +1,5 @@
-//! A relay of a fleet over several regions: which servers it takes, and from where it copies.
+//! Tests of a relay in a fleet over several regions: which servers it chooses, and from where
+//! prompts' KV caches are copied.
 
 #[path = "support/platform.rs"]
 #[allow(dead_code, reason = "each test takes what it needs")]
@@ -17,7 +18,8 @@
 use hyper::{HeaderMap, Method};
 use platform::{TestRelay, document, usual_routes};
 
-/// A relay in data centre `here` of region `a`, which has `near` as well; `far` is in region `b`.
+/// Starts a relay in data centre `here` of region `a`, which also contains `near`. `far` is in
+/// region `b`.
 async fn relay_of_two_regions() -> TestRelay {
     let relay = TestRelay::empty_with("[regions]\nhere = a\nnear = a\nfar = b\n").await;
     relay.publish(&document(1, &usual_routes()));
@@ -42,7 +44,7 @@
     (0..each * names.len()).map(|number| server(number, names[number % names.len()])).collect()
 }
 
-/// A call; its prompt has a part that others share, if one is named.
+/// A call. If `part` is given, its prompt begins with that shared prefix.
 fn call(part: Option<u64>) -> Call {
     let shared = part.map(|id| PromptSegment { id, tokens: 5_000 });
     let parts = shared.into_iter().chain([PromptSegment { id: 0, tokens: 1_000 }]).collect();
@@ -64,23 +66,23 @@
     relay.relay.table().unwrap().find("app.example", "/stream/x").unwrap().clone()
 }
 
-/// The server for a call, and whether it copies the shared part.
-fn chosen(relay: &TestRelay, part: Option<u64>) -> (Arc<KnownServer>, bool) {
-    let mut course = CallAttempts::new("svc".parse().unwrap());
-    let known = course.next_server(&relay.relay, &call(part), &stream_route(relay)).unwrap();
-    (known, course.prefix_source().is_some())
+/// The server chosen for a call, and whether it copies the shared prefix from another server.
+fn choose_server(relay: &TestRelay, part: Option<u64>) -> (Arc<KnownServer>, bool) {
+    let mut attempts = CallAttempts::new("svc".parse().unwrap());
+    let known = attempts.next_server(&relay.relay, &call(part), &stream_route(relay)).unwrap();
+    (known, attempts.prefix_source().is_some())
 }
 
-/// Takes all places of the servers in data centres.
-fn fill(relay: &TestRelay, names: &[&str]) -> Vec<InFlightRequest> {
+/// Occupies all slots of the servers in the named data centres.
+fn occupy_slots(relay: &TestRelay, names: &[&str]) -> Vec<InFlightRequest> {
     let servers = relay.relay.servers.for_service(&"svc".parse().unwrap());
     let there = servers.iter().filter(|it| names.contains(&it.server.data_centre.as_str()));
     there.flat_map(|known| (0..20).map(|_| known.start_request(0, 0))).collect()
 }
 
-/// Where 60 calls go.
-fn data_centres(relay: &TestRelay) -> Vec<String> {
-    let place = |_| chosen(relay, None).0.server.data_centre.to_string();
+/// The data centres that 60 calls go to.
+fn destinations(relay: &TestRelay) -> Vec<String> {
+    let place = |_| choose_server(relay, None).0.server.data_centre.to_string();
     (0..60).map(place).collect()
 }
 
@@ -89,7 +91,7 @@
     for each in [4, 40] {
         let relay = relay_of_two_regions().await;
         relay.list_as(servers(&["here", "near", "far"], each));
-        let went = data_centres(&relay);
+        let went = destinations(&relay);
         assert!(!went.contains(&"far".to_owned()), "{went:?}");
     }
 }
@@ -99,10 +101,10 @@
     for each in [4, 40] {
         let relay = relay_of_two_regions().await;
         relay.list_as(servers(&["here", "near", "far"], each));
-        let full = fill(&relay, &["here", "near"]);
-        assert!(data_centres(&relay).iter().all(|name| name == "far"));
+        let full = occupy_slots(&relay, &["here", "near"]);
+        assert!(destinations(&relay).iter().all(|name| name == "far"));
         drop(full);
-        assert!(!data_centres(&relay).contains(&"far".to_owned()));
+        assert!(!destinations(&relay).contains(&"far".to_owned()));
     }
 }
 
@@ -111,22 +113,22 @@
     for each in [4, 80] {
         let relay = relay_of_two_regions().await;
         relay.list_as(servers(&["far"], each));
-        assert!(data_centres(&relay).iter().all(|name| name == "far"));
+        assert!(destinations(&relay).iter().all(|name| name == "far"));
     }
 }
 
-/// A shared part is copied inside a region: from its home there.
+/// A shared prefix is copied only within a region, from its home server there.
 #[tokio::test]
 async fn shared_part_has_a_home_in_each_region() {
     let relay = relay_of_two_regions().await;
     relay.list_as(servers(&["here", "near", "far"], 40));
     let mut homes = 0;
     for part in 0..200 {
-        let (known, copies) = chosen(&relay, Some(part));
+        let (known, copies) = choose_server(&relay, Some(part));
         assert_ne!(known.server.data_centre.as_str(), "far");
         homes += usize::from(!copies);
     }
-    assert!(homes > 100, "{homes} of 200 went to the home of their part");
+    assert!(homes > 100, "{homes} of 200 went to the home of their prefix");
 }
 
 #[tokio::test]
@@ -134,25 +136,26 @@
     let relay = relay_of_two_regions().await;
     relay.list_as(servers(&["here", "near", "far"], 4));
     let all = relay.relay.servers.for_service(&"svc".parse().unwrap());
-    let course = CallAttempts::new("svc".parse().unwrap());
+    let attempts = CallAttempts::new("svc".parse().unwrap());
     let from = |name: &str| {
         let source = all.iter().find(|it| it.server.data_centre.as_str() == name).unwrap();
-        course.move_target(&relay.relay, source).unwrap().server.data_centre.to_string()
+        attempts.move_target(&relay.relay, source).unwrap().server.data_centre.to_string()
     };
     assert_eq!(from("here"), "near");
     assert_eq!(from("far"), "far");
-    let _full = fill(&relay, &["here", "near"]);
+    let _full = occupy_slots(&relay, &["here", "near"]);
     assert_eq!(from("here"), "far");
 }
 
-/// Where a region has a few servers only, each that comes or goes would move many parts.
+/// Where a region has few servers, the prefix has one home over all regions: with one per region,
+/// each server that comes or goes would move the home of many prefixes.
 #[tokio::test]
 async fn shared_part_has_one_home_where_there_are_few_servers() {
     let relay = relay_of_two_regions().await;
     relay.list_as(servers(&["here", "near", "far"], 4));
     for part in 0..20 {
         let homes: BTreeSet<_> = (0..10)
-            .map(|_| chosen(&relay, Some(part)))
+            .map(|_| choose_server(&relay, Some(part)))
             .filter(|(_, copies)| !copies)
             .map(|(known, _)| known.server.id.clone())
             .collect();
--- a/tests/placing.rs
+++ b/tests/placing.rs
@@ -1,4 +1,5 @@
-//! Where requests go with many boxes and many engines: what boxes know of loads, and what callers get.
+//! Tests and simulations of server selection with many boxes and engines: what boxes know of loads,
+//! and how many requests find no free slot.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -33,26 +34,27 @@
     format!("i-{number}").parse().unwrap()
 }
 
-/// How boxes hear of the engines' loads.
+/// Where boxes learn the engines' loads.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Hearing {
+enum LoadSource {
     /// From the answers to their own requests.
     Own,
-    /// And of what others hear, from the leader.
+    /// Also from the leader, which pools what all boxes learn.
     Pooled,
 }
 
-/// Boxes that send requests to engines of [`SLOTS`] places, each held for about a second.
+/// Simulated boxes that send requests to engines with [`SLOTS`] slots. Requests take about a second
+/// each.
 struct Fleet {
     rng: SmallRng,
     base: Instant,
-    /// When the requests at each engine end.
+    /// When each request at each engine ends.
     engines: Vec<Vec<f64>>,
-    /// What each box knows: requests of each engine, and when that was true.
+    /// What each box knows: the number of requests at each engine, and the time of that number.
     known: Vec<HashMap<usize, (f64, f64)>>,
-    /// The engines of which the leader's last answer told each box.
-    fresh: Vec<Vec<usize>>,
-    told: Vec<LoadPool>,
+    /// The engines whose loads were in the leader's last answer to each box.
+    recent: Vec<Vec<usize>>,
+    reports: Vec<LoadPool>,
     pool: LoadPool,
     places: HashMap<BackendId, usize>,
 }
@@ -68,8 +70,8 @@
             base,
             engines: vec![Vec::new(); engines],
             known: vec![HashMap::new(); boxes],
-            fresh: vec![Vec::new(); boxes],
-            told: (0..boxes).map(|_| LoadPool::default()).collect(),
+            recent: vec![Vec::new(); boxes],
+            reports: (0..boxes).map(|_| LoadPool::default()).collect(),
             pool,
             places: (0..engines).map(|engine| (id(engine), engine)).collect(),
         }
@@ -79,16 +81,16 @@
         self.base + Duration::from_secs_f64(now)
     }
 
-    /// The box's word to the leader, and the answer.
-    fn beat(&mut self, place: usize, now: f64) {
+    /// A box's heartbeat to the leader, and the answer.
+    fn heartbeat(&mut self, place: usize, now: f64) {
         let at = self.instant(now);
-        let told = self.told[place].drain(at);
-        self.pool.record_samples(told, at);
-        self.fresh[place].clear();
+        let reports = self.reports[place].drain(at);
+        self.pool.record_samples(reports, at);
+        self.recent[place].clear();
         let all: Vec<_> = (0..self.engines.len()).map(id).collect();
         let all: Vec<_> = all.iter().collect();
         for load in self.pool.sample(&all, at, self.rng.random()) {
-            self.fresh[place].push(self.places[&load.server]);
+            self.recent[place].push(self.places[&load.server]);
             let engine = self.places[&load.server];
             self.known[place].insert(engine, (load.decayed_requests(Some(1.0)), now));
         }
@@ -96,9 +98,9 @@
 
     fn choose(&mut self, place: usize, now: f64) -> usize {
         let rng = &mut self.rng;
-        let fresh = &self.fresh[place];
+        let recent = &self.recent[place];
         let all: Vec<_> = (0..self.engines.len()).collect();
-        let list = if fresh.is_empty() { &all } else { fresh };
+        let list = if recent.is_empty() { &all } else { recent };
         let drawn = sample_indices(list.len(), || rng.random());
         let drawn: Vec<_> = drawn.into_iter().map(|it| list[it]).collect();
         let word = |engine: &usize| {
@@ -122,7 +124,7 @@
         drawn[choose(&MODEL, &candidates, || rng.random()).unwrap()]
     }
 
-    /// A request of a box; whether it found no place.
+    /// Sends a request from a box. Returns whether it found no free slot.
     fn send(&mut self, place: usize, now: f64) -> bool {
         let engine = self.choose(place, now);
         let ends = &mut self.engines[engine];
@@ -133,20 +135,22 @@
         let requests = ends.len() as u32;
         self.known[place].insert(engine, (f64::from(requests), now));
         let at = self.instant(now);
-        self.told[place].record(id(engine), requests, at);
+        self.reports[place].record(id(engine), requests, at);
         waits
     }
 
-    /// The part of the requests that find no place, at `load` of all places.
-    fn play(&mut self, load: f64, hearing: Hearing) -> f64 {
+    /// The fraction of requests that find no free slot when the load is `load` times the number of
+    /// slots.
+    fn simulate(&mut self, load: f64, source: LoadSource) -> f64 {
         let rate = load * self.engines.len() as f64 * f64::from(SLOTS);
-        let (mut now, mut beaten, mut sent, mut waited) = (0.0, 0.0, 0.0, 0.0);
+        let (mut now, mut next_heartbeat, mut sent, mut waited) = (0.0, 0.0, 0.0, 0.0);
         while now < 12.0 {
             now += -f64::ln(1.0 - self.rng.random::<f64>()) / rate;
-            while hearing == Hearing::Pooled && beaten < now {
-                let place = (beaten * 2.5 * self.known.len() as f64) as usize % self.known.len();
-                self.beat(place, beaten);
-                beaten += 0.4 / self.known.len() as f64;
+            while source == LoadSource::Pooled && next_heartbeat < now {
+                let place =
+                    (next_heartbeat * 2.5 * self.known.len() as f64) as usize % self.known.len();
+                self.heartbeat(place, next_heartbeat);
+                next_heartbeat += 0.4 / self.known.len() as f64;
             }
             let place = self.rng.random_range(0..self.known.len());
             let waits = self.send(place, now);
@@ -159,13 +163,14 @@
     }
 }
 
-/// 0.023 of the requests find no place with pooled loads, 0.060 with what a box hears by itself.
+/// 0.023 of the requests find no free slot with pooled loads, 0.060 with the loads that each box
+/// learns by itself.
 #[test]
 fn hundreds_of_boxes_find_the_free_places() {
-    let [own, pooled] =
-        [Hearing::Own, Hearing::Pooled].map(|hearing| Fleet::new(300, 200).play(0.6, hearing));
-    assert!(pooled < 0.03, "{pooled} find no place with pooled loads");
-    assert!(pooled < own / 2.0, "{pooled} find no place with pooled loads, {own} without");
+    let [own, pooled] = [LoadSource::Own, LoadSource::Pooled]
+        .map(|source| Fleet::new(300, 200).simulate(0.6, source));
+    assert!(pooled < 0.03, "{pooled} find no free slot with pooled loads");
+    assert!(pooled < own / 2.0, "{pooled} find no free slot with pooled loads, {own} without");
 }
 
 #[test]
@@ -203,7 +208,7 @@
 }
 
 proptest! {
-    /// A new word counts in full, an old one not at all.
+    /// A new sample counts fully, an old one not at all.
     #[test]
     fn old_word_fades_to_what_new_ones_say(
         requests in 0.0..100.0_f64, others in prop::collection::vec(0.0..20.0_f64, 1..8),
@@ -221,7 +226,7 @@
         prop_assert!((now[others.len() + 2] - requests).abs() < 1e-6);
     }
 
-    /// What the leader passes on is the newest word of each server that is there.
+    /// The leader passes on the newest sample of each listed server.
     #[test]
     fn pool_passes_the_newest_loads_on(
         words in prop::collection::vec((0_usize..80, 0_u32..40, 0_u64..3_000), 1..200),
@@ -232,8 +237,8 @@
         let mut newest = HashMap::new();
         for (server, requests, age) in words {
             let life = Incarnation(0);
-            let told = LoadSample { server: id(server), incarnation: life, requests, age: Millis(age) };
-            pool.record_samples(vec![told], now);
+            let sample = LoadSample { server: id(server), incarnation: life, requests, age: Millis(age) };
+            pool.record_samples(vec![sample], now);
             let held = newest.entry(id(server)).or_insert((age, requests));
             if age < held.0 {
                 *held = (age, requests);
--- a/tests/topology.rs
+++ b/tests/topology.rs
@@ -1,4 +1,4 @@
-//! Regions: what the settings may say of them, and how far data centres are from a box.
+//! Tests of the region settings and of the reach of data centres.
 
 use std::collections::BTreeMap;
 
