--- a/src/control/spend.rs
+++ b/src/control/spend.rs
@@ -196,7 +196,7 @@
         }
         let first = self.first.entry(service.clone()).or_insert(0);
         *first = (*first).max(listed);
-        match demand.is_seen() {
+        match demand.has_traffic() {
             true => EngineTarget {
                 spot_target: market.initial_spot_engines(*first),
                 min_total: *first,
--- a/src/decide/absence.rs
+++ b/src/decide/absence.rs
@@ -112,8 +112,8 @@
         lost
     }
 
-    /// Records that an order for spot engines was refused. If some serve, it only means that no further ones
-    /// are available.
+    /// Records that an order for spot engines was refused. If some served at the last observation, it only
+    /// means that no further ones are available.
     pub fn record_refusal(&mut self, now: f64, data_centre: &DataCentre) {
         let since = match self.states.get(data_centre).copied().unwrap_or_default() {
             State::Present => return,
--- a/src/decide/exposure.rs
+++ b/src/decide/exposure.rs
@@ -91,7 +91,8 @@
         holds
     }
 
-    /// Returns a permit for a request that was not sent. A permit taken in another roll-out is ignored.
+    /// Returns a permit for a request that was not sent. Ignored if none is in use: the
+    /// permit was then taken in another roll-out.
     pub fn give_back(&mut self) {
         if self.used > 0 {
             self.left += 1;
--- a/src/decide/spend.rs
+++ b/src/decide/spend.rs
@@ -57,9 +57,10 @@
     /// fraction of their sum.
     pub fn record(&mut self, now: f64, age: f64, sum: OfferedLoad) {
         self.age = age;
-        let faded = OfferedLoad::decayed_peak(self.peak, now - self.at);
-        let told = if self.first_traffic.is_none() { sum.peak * PEAK_SUM_FACTOR } else { 0.0 };
-        self.peak = faded.max(told).max(sum.prompt_tokens);
+        let decayed = OfferedLoad::decayed_peak(self.peak, now - self.at);
+        let initial_peak =
+            if self.first_traffic.is_none() { sum.peak * PEAK_SUM_FACTOR } else { 0.0 };
+        self.peak = decayed.max(initial_peak).max(sum.prompt_tokens);
         self.offered = sum;
         self.at = now;
         if sum.prompt_tokens > 0.0 && self.first_traffic.is_none() {
@@ -73,7 +74,7 @@
     }
 
     /// Whether any traffic was reported.
-    pub fn is_seen(&self) -> bool {
+    pub fn has_traffic(&self) -> bool {
         self.first_traffic.is_some()
     }
 
@@ -112,14 +113,14 @@
     /// for their rate to be known. The averages start at zero, so they are scaled up by what they still
     /// lack.
     fn extrapolated(&self, seen: f64) -> Option<(OfferedLoad, f64)> {
-        let told = seen - self.age;
-        if told < MIN_REPORTED_TIME
+        let reported_time = seen - self.age;
+        if reported_time < MIN_REPORTED_TIME
             || self.offered.requests * MEAN_TIME < MIN_EXTRAPOLATION_REQUESTS
         {
             return None;
         }
-        let part = 1.0 - (-told / MEAN_TIME).exp();
-        let offered = self.offered.scaled(1.0 / part);
+        let weight = 1.0 - (-reported_time / MEAN_TIME).exp();
+        let offered = self.offered.scaled(1.0 / weight);
         Some((offered, offered.prompt_tokens.max(self.peak)))
     }
 
