--- a/bench/src/decisions.rs
+++ b/bench/src/decisions.rs
@@ -196,8 +196,8 @@
     let words: Vec<_> = servers.iter().map(word).collect();
     let regions: Vec<_> = servers.iter().map(|it| REGIONS[it.data_centre]).collect();
     let distance = |it: &Remote| Distance {
-        time: distances.time(&names[it.data_centre], it.reach, now),
-        weight: kilobytes(12_000, 500) * weights.of(it.reach),
+        rtt_ms: distances.rtt_ms(&names[it.data_centre], it.reach, now),
+        byte_cost_ms: kilobytes(12_000, 500) * weights.of(it.reach),
     };
     let others = estimate_other_requests_by_region(&words, &regions, Some(1.0)).into_iter();
     let candidate =
@@ -226,7 +226,7 @@
         residence_time: 1.0,
         queued_prompt_tokens: 0,
         uncached_prompt_tokens: 3_000,
-        distance: Distance { time: 3.0, weight: 0.0 },
+        distance: Distance { rtt_ms: 3.0, byte_cost_ms: 0.0 },
         memory_full: false,
         ejected: false,
     }
--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -119,7 +119,7 @@
     let wait = (candidate.requests + 1.0 - slots).max(0.0) * slot_wait;
     let full = if candidate.memory_full { MEMORY_FULL_PENALTY_MS } else { 0.0 };
     let ejected = if candidate.ejected { EJECTED_PENALTY_MS } else { 0.0 };
-    read + crowd + wait + candidate.distance.time + full + ejected
+    read + crowd + wait + candidate.distance.rtt_ms + full + ejected
 }
 
 /// The last load report of a server.
@@ -271,7 +271,7 @@
     }
 
     fn weighed(&self) -> impl Iterator<Item = f64> {
-        self.waits().zip(self.candidates).map(|(wait, it)| wait + it.distance.weight)
+        self.waits().zip(self.candidates).map(|(wait, it)| wait + it.distance.byte_cost_ms)
     }
 }
 
--- a/src/decide/distance.rs
+++ b/src/decide/distance.rs
@@ -47,9 +47,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Distance {
     /// The round-trip time in milliseconds.
-    pub time: f64,
+    pub rtt_ms: f64,
     /// The cost of the transferred bytes, as an equivalent wait in milliseconds.
-    pub weight: f64,
+    pub byte_cost_ms: f64,
 }
 
 /// The cost of a transferred kilobyte, as an equivalent wait in milliseconds. The default is 0, so
@@ -97,7 +97,7 @@
         self.rtt_ms = quantile(times, RTT_QUANTILE).filter(|_| self.samples.len() >= MIN_SAMPLES);
     }
 
-    fn time(&self, now: Instant) -> Option<f64> {
+    fn rtt_ms(&self, now: Instant) -> Option<f64> {
         let (at, _) = self.samples.back()?;
         self.rtt_ms.filter(|_| now.saturating_duration_since(*at) < SAMPLE_LIFETIME)
     }
@@ -121,18 +121,18 @@
 
     /// The measured round-trip time to a data centre in milliseconds, if there is a current
     /// estimate.
-    pub fn learned(&self, data_centre: &DataCentre, now: Instant) -> Option<f64> {
-        self.connect_times.get(data_centre)?.time(now)
+    pub fn learned_rtt_ms(&self, data_centre: &DataCentre, now: Instant) -> Option<f64> {
+        self.connect_times.get(data_centre)?.rtt_ms(now)
     }
 
     /// The round-trip time to a data centre in milliseconds, measured or assumed.
-    pub fn time(&self, data_centre: &DataCentre, reach: Reach, now: Instant) -> f64 {
+    pub fn rtt_ms(&self, data_centre: &DataCentre, reach: Reach, now: Instant) -> f64 {
         let unlearned = match reach {
             Reach::Local => return 0.0,
             Reach::Regional => DEFAULT_REGIONAL_RTT_MS,
             Reach::Remote => DEFAULT_REMOTE_RTT_MS,
         };
-        self.learned(data_centre, now).unwrap_or(unlearned)
+        self.learned_rtt_ms(data_centre, now).unwrap_or(unlearned)
     }
 
     /// All current estimates, in milliseconds.
@@ -140,7 +140,7 @@
         let learned = self
             .connect_times
             .iter()
-            .filter_map(|(name, samples)| Some((name, samples.time(now)?)));
+            .filter_map(|(name, samples)| Some((name, samples.rtt_ms(now)?)));
         learned.map(|(name, time)| (name.clone(), time)).collect()
     }
 }
--- a/src/decide/subset.rs
+++ b/src/decide/subset.rs
@@ -47,25 +47,25 @@
 const REACH_FRACTIONS: [f64; Reach::ALL.len()] = [0.5, 0.25, 0.25];
 
 /// How many servers of each reach a box takes, given how many exist.
-pub fn servers_per_reach(there: [usize; Reach::ALL.len()]) -> [usize; Reach::ALL.len()] {
-    let mut servers_per_reach = there;
+pub fn servers_per_reach(existing: [usize; Reach::ALL.len()]) -> [usize; Reach::ALL.len()] {
+    let mut servers_per_reach = existing;
     for (reach, fraction) in REACH_FRACTIONS.into_iter().enumerate() {
-        servers_per_reach[reach] = there[reach].min((SUBSET_SIZE as f64 * fraction) as usize);
+        servers_per_reach[reach] = existing[reach].min((SUBSET_SIZE as f64 * fraction) as usize);
     }
     // Unused capacity of one reach goes to the others, the nearest first.
-    let mut left = SUBSET_SIZE - servers_per_reach.iter().sum::<usize>();
+    let mut remaining = SUBSET_SIZE - servers_per_reach.iter().sum::<usize>();
     for reach in 0..servers_per_reach.len() {
-        let more = left.min(there[reach] - servers_per_reach[reach]);
+        let more = remaining.min(existing[reach] - servers_per_reach[reach]);
         servers_per_reach[reach] += more;
-        left -= more;
+        remaining -= more;
     }
     servers_per_reach
 }
 
 /// How many of a data centre's `parts` parts a box takes, so that it knows `wanted` of the `there`
 /// servers at that reach.
-pub fn parts_to_take(parts: usize, wanted: usize, there: usize) -> usize {
-    (parts * wanted).div_ceil(there.max(1)).min(parts)
+pub fn parts_to_take(parts: usize, wanted: usize, existing: usize) -> usize {
+    (parts * wanted).div_ceil(existing.max(1)).min(parts)
 }
 
 /// The indices of the `count` parts with the highest affinity to a box. `parts` are the hashes of
--- a/src/relay/engines.rs
+++ b/src/relay/engines.rs
@@ -22,11 +22,11 @@
 
 impl EngineTracker {
     /// Records an observation of a service's engine.
-    pub fn record_observation(&mut self, service: &ServiceName, seen: Observation) {
+    pub fn record_observation(&mut self, service: &ServiceName, observation: Observation) {
         if !self.learners.contains_key(service) {
             self.learners.insert(service.clone(), EngineLearner::default());
         }
-        self.record_sample(service, Sample::First(seen));
+        self.record_sample(service, Sample::First(observation));
     }
 
     /// Records a sample. Ignored for a service that has no observation yet.
--- a/src/relay/keeping.rs
+++ b/src/relay/keeping.rs
@@ -43,7 +43,7 @@
     link: Option<Arc<Link>>,
     _guard: RequestGuard,
     _head: MemoryReservation,
-    _place: MemoryReservation,
+    _processing: MemoryReservation,
 }
 
 impl RequestReservation {
@@ -61,9 +61,10 @@
         let link = request.extensions().get::<Arc<Busy>>().map(|busy| busy.link().clone());
         let head = head::size(request) as u64 * HEAD_COPIES;
         let head = memory.reserve(Purpose::Heads, head, claim.clone());
-        let place = memory.reserve(Purpose::Requests, RESERVED_BYTES_PER_REQUEST, claim.clone());
-        let (_head, _place) = (head.map_err(no_memory)?, place.map_err(no_memory)?);
-        Ok(Self { link, _guard: guard, _head, _place })
+        let processing =
+            memory.reserve(Purpose::Requests, RESERVED_BYTES_PER_REQUEST, claim.clone());
+        let (_head, _processing) = (head.map_err(no_memory)?, processing.map_err(no_memory)?);
+        Ok(Self { link, _guard: guard, _head, _processing })
     }
 
     /// Closes the caller's connection at once.
@@ -107,10 +108,10 @@
     let reserved = memory.reserve(Purpose::Bodies, room, claim.clone()).map_err(no_memory)?;
     let buffers = READ_BYTES.min(length.unwrap_or(READ_BYTES));
     let _buffers = memory.reserve(Purpose::Bodies, buffers, claim).map_err(no_memory)?;
-    let read = BodyReader { held: BytesMut::with_capacity(room as usize), reserved, limit };
-    let (held, reserved) = read.read_to_end(incoming, length, until).await?;
+    let read = BodyReader { buffer: BytesMut::with_capacity(room as usize), reserved, limit };
+    let (buffer, reserved) = read.read_to_end(incoming, length, until).await?;
     *body = None;
-    Ok(guarded(held, reserved))
+    Ok(guarded(buffer, reserved))
 }
 
 fn too_large(limit: usize) -> Failure {
@@ -118,7 +119,7 @@
 }
 
 struct BodyReader {
-    held: BytesMut,
+    buffer: BytesMut,
     reserved: MemoryReservation,
     limit: usize,
 }
@@ -137,7 +138,7 @@
             let frame = tokio::time::timeout_at(next_check.into(), body.frame()).await;
             match frame {
                 Err(_) => {}
-                Ok(None) => return Ok((self.held.freeze(), self.reserved)),
+                Ok(None) => return Ok((self.buffer.freeze(), self.reserved)),
                 Ok(Some(Ok(frame))) => {
                     if let Ok(piece) = frame.into_data() {
                         self.append(&piece)?;
@@ -149,16 +150,11 @@
                 }
             }
             if Instant::now() >= next_check {
-                let (came, passed) = (self.held.len() as u64, began.elapsed());
+                let (received, elapsed) = (self.buffer.len() as u64, began.elapsed());
                 let length = length.unwrap_or_default();
-                if !can_arrive(&BodyProgress {
-                    received: came,
-                    length,
-                    elapsed: passed,
-                    limit: time,
-                }) {
-                    let what = if passed < time { "cannot" } else { "did not" };
-                    let text = format!("the body {what} arrive in time: received {came} bytes");
+                if !can_arrive(&BodyProgress { received, length, elapsed, limit: time }) {
+                    let what = if elapsed < time { "cannot" } else { "did not" };
+                    let text = format!("the body {what} arrive in time: received {received} bytes");
                     return Err(Failure::new(Kind::SlowCaller, text));
                 }
                 next_check = (Instant::now() + time / PROGRESS_CHECKS).min(until);
@@ -167,7 +163,7 @@
     }
 
     fn append(&mut self, piece: &Bytes) -> Result<(), Failure> {
-        let length = self.held.len() + piece.len();
+        let length = self.buffer.len() + piece.len();
         if length > self.limit {
             return Err(too_large(self.limit));
         }
@@ -175,9 +171,9 @@
         if length > room {
             let more = length.max(room * 2).min(self.limit) - room;
             self.reserved.grow(more as u64).map_err(no_memory)?;
-            self.held.reserve(room + more - self.held.len());
+            self.buffer.reserve(room + more - self.buffer.len());
         }
-        self.held.extend_from_slice(piece);
+        self.buffer.extend_from_slice(piece);
         Ok(())
     }
 }
--- a/src/relay/known.rs
+++ b/src/relay/known.rs
@@ -175,18 +175,18 @@
 ) -> Arc<KnownServer> {
     let now = UnixMillis::now();
     let mut life = life.unwrap_or_else(|| ServerIncarnation::first_seen_at(now));
-    let heard = life.update(listed.incarnation, IncarnationSource::Relayed, now);
+    let update = life.update(listed.incarnation, IncarnationSource::Relayed, now);
     let Some(known) = before else {
         return Arc::new(KnownServer::new(listed.server.clone(), life));
     };
-    if heard == IncarnationUpdate::Outdated {
+    if update == IncarnationUpdate::Outdated {
         return known.clone();
     }
     let is_named = !listed.incarnation.is_none() && listed.incarnation == known.incarnation();
     // A server has one address for its whole incarnation, so a server at another address is another
     // incarnation, whether or not the list says so.
     let moved = known.server.addr != listed.server.addr && !is_named;
-    if heard == IncarnationUpdate::Restarted || moved {
+    if update == IncarnationUpdate::Restarted || moved {
         if moved && listed.incarnation.is_none() {
             life.mark_restarted(now);
         }
--- a/src/relay/list_registry.rs
+++ b/src/relay/list_registry.rs
@@ -60,7 +60,7 @@
 
 /// The last known incarnation of a server.
 struct KnownIncarnation {
-    life: ServerIncarnation,
+    incarnation: ServerIncarnation,
     /// When this incarnation became known.
     since: Instant,
     addr: SocketAddr,
@@ -80,7 +80,7 @@
     listed_at: Option<Timestamp>,
     /// The servers of `listing`, with `leaving` adjusted to their incarnations.
     servers: Vec<Server>,
-    lives: HashMap<BackendId, KnownIncarnation>,
+    incarnations: HashMap<BackendId, KnownIncarnation>,
     /// Whether `servers` may not reflect what is known of incarnations, so that the list must be
     /// rebuilt.
     stale: bool,
@@ -112,8 +112,8 @@
     /// many as run other releases. Servers that are leaving do not count.
     pub fn can_serve(&self, service: &ServiceName, release: &Release) -> bool {
         let open = self.servers.iter().filter(|it| it.service == *service && !it.leaving);
-        let (new, former): (Vec<_>, Vec<_>) = open.partition(|it| it.release == *release);
-        !new.is_empty() && 2 * new.len() >= former.len()
+        let (new, others): (Vec<_>, Vec<_>) = open.partition(|it| it.release == *release);
+        !new.is_empty() && 2 * new.len() >= others.len()
     }
 
     /// The number of servers for each service and release, formatted for the log.
@@ -177,16 +177,17 @@
         now: impl Into<Timestamp>,
     ) -> IncarnationUpdate {
         let now = now.into();
-        let held = self.lives.get_mut(&report.server.id);
-        let Some(held) = held.filter(|held| held.addr == report.addr) else {
+        let known = self.incarnations.get_mut(&report.server.id);
+        let Some(known) = known.filter(|known| known.addr == report.addr) else {
             return IncarnationUpdate::Outdated;
         };
-        let heard = held.life.update(report.server.life, IncarnationSource::Relayed, now.unix);
-        if matches!(heard, IncarnationUpdate::Identified | IncarnationUpdate::Restarted) {
-            held.since = now.monotonic;
+        let update =
+            known.incarnation.update(report.server.life, IncarnationSource::Relayed, now.unix);
+        if matches!(update, IncarnationUpdate::Identified | IncarnationUpdate::Restarted) {
+            known.since = now.monotonic;
             self.stale = true;
         }
-        heard
+        update
     }
 
     /// Whether the list must be rebuilt to reflect what is known of incarnations.
@@ -201,8 +202,8 @@
         self.servers = listed.iter().map(|it| it.server.clone()).collect();
         let groups = group_by_location(listed);
         let updated_bits = |(group, servers): (&ServiceLocation, &Vec<ListedServer>)| {
-            let held = self.prefix_bits.get(group).copied().unwrap_or(0);
-            (group.clone(), part_bits(servers.len(), held))
+            let previous_bits = self.prefix_bits.get(group).copied().unwrap_or(0);
+            (group.clone(), part_bits(servers.len(), previous_bits))
         };
         self.prefix_bits = groups.iter().map(updated_bits).collect();
         let parts: BTreeMap<_, _> = groups
@@ -213,7 +214,7 @@
             .collect();
         let is_same = parts.len() == self.parts.len()
             && parts.iter().all(|(id, it)| {
-                self.parts.get(id).is_some_and(|held| held.content_hash == it.content_hash)
+                self.parts.get(id).is_some_and(|known| known.content_hash == it.content_hash)
             });
         self.replace_parts(parts);
         if is_same && !self.is_empty() {
@@ -233,12 +234,12 @@
     fn replace_parts(&mut self, mut parts: BTreeMap<PartId, Part>) {
         for (id, part) in &mut parts {
             let is_timed = part.servers.iter().any(|it| it.server.leaves_in.is_some());
-            let held = self
+            let known = self
                 .parts
                 .remove(id)
-                .filter(|held| held.content_hash == part.content_hash && !is_timed);
-            if let Some(held) = held {
-                part.packed = held.packed;
+                .filter(|known| known.content_hash == part.content_hash && !is_timed);
+            if let Some(known) = known {
+                part.packed = known.packed;
             }
         }
         self.parts = parts;
@@ -253,27 +254,27 @@
         let mut listed = Vec::with_capacity(self.listing.len());
         for server in &self.listing {
             let fresh = || KnownIncarnation {
-                life: ServerIncarnation::first_seen_at(now.unix),
+                incarnation: ServerIncarnation::first_seen_at(now.unix),
                 since: now.monotonic,
                 addr: server.addr,
             };
-            let held = self.lives.entry(server.id.clone()).or_insert_with(fresh);
-            if held.addr != server.addr {
+            let known = self.incarnations.entry(server.id.clone()).or_insert_with(fresh);
+            if known.addr != server.addr {
                 // A server has one address for its whole incarnation.
-                held.life.mark_restarted(now.unix);
-                (held.since, held.addr) = (now.monotonic, server.addr);
+                known.incarnation.mark_restarted(now.unix);
+                (known.since, known.addr) = (now.monotonic, server.addr);
             }
             let mut server = server.clone();
-            let known = listed_at.monotonic.saturating_duration_since(held.since);
-            if server.leaving && !held.life.accepts_listing(listed_at.unix, known) {
+            let known_for = listed_at.monotonic.saturating_duration_since(known.since);
+            if server.leaving && !known.incarnation.accepts_listing(listed_at.unix, known_for) {
                 (server.leaving, server.leaves_in) = (false, None);
                 self.stale = true;
             }
-            listed.push(ListedServer { server, incarnation: held.life.id() });
+            listed.push(ListedServer { server, incarnation: known.incarnation.id() });
         }
-        if self.lives.len() > 2 * listed.len() + UNLISTED_LIMIT {
-            let there: HashSet<_> = listed.iter().map(|it| &it.server.id).collect();
-            self.lives.retain(|id, _| there.contains(id));
+        if self.incarnations.len() > 2 * listed.len() + UNLISTED_LIMIT {
+            let existing: HashSet<_> = listed.iter().map(|it| &it.server.id).collect();
+            self.incarnations.retain(|id, _| existing.contains(id));
         }
         listed
     }
@@ -309,16 +310,16 @@
         let mut taken = Vec::new();
         for group in all.chunk_by(same) {
             let PartId { service, data_centre, .. } = group[0].0;
-            let (wanted, there) = match (&topology, &near) {
+            let (wanted, existing) = match (&topology, &near) {
                 (Some(topology), Some(near)) => {
                     let reach = topology.reach(data_centre) as usize;
-                    let there = near.get(service).copied().unwrap_or_default();
-                    (servers_per_reach(there)[reach], there[reach])
+                    let existing = near.get(service).copied().unwrap_or_default();
+                    (servers_per_reach(existing)[reach], existing[reach])
                 }
                 _ => (SUBSET_SIZE, self.counts.get(service).copied().unwrap_or(0)),
             };
             let hashes: Vec<_> = group.iter().map(|(_, part)| part.id_hash).collect();
-            let indices = select_parts(hash, &hashes, parts_to_take(group.len(), wanted, there));
+            let indices = select_parts(hash, &hashes, parts_to_take(group.len(), wanted, existing));
             taken.extend(
                 indices
                     .into_iter()
--- a/src/relay/lives.rs
+++ b/src/relay/lives.rs
@@ -36,10 +36,10 @@
 async fn request_report(relay: Arc<Relay>, known: Arc<KnownServer>) {
     match fetch_report(&relay, &known).await {
         Ok(Some(report)) => {
-            let heard = relay.servers.apply_report(&known, &report);
+            let update = relay.servers.apply_report(&known, &report);
             relay.context.metrics.count_report("read");
             // The next heartbeat passes the restart on to the other boxes; send it now.
-            if heard == IncarnationUpdate::Restarted {
+            if update == IncarnationUpdate::Restarted {
                 relay.heartbeat_requested.notify_one();
             }
         }
--- a/src/relay/offered.rs
+++ b/src/relay/offered.rs
@@ -38,14 +38,14 @@
 
     /// Updates the rates with the arrivals since the last call and returns them.
     pub fn rates(&mut self, now: Instant) -> BTreeMap<ServiceName, OfferedLoad> {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
+        let elapsed = now.saturating_duration_since(self.at).as_secs_f64();
         self.at = now;
         let arrivals = std::mem::take(&mut self.arrivals);
         for service in arrivals.keys() {
             self.rates.entry(service.clone()).or_default();
         }
         for (service, rate) in &mut self.rates {
-            rate.record(passed, arrivals.get(service).copied().unwrap_or_default());
+            rate.record(elapsed, arrivals.get(service).copied().unwrap_or_default());
         }
         self.rates.clone()
     }
--- a/src/relay/pick.rs
+++ b/src/relay/pick.rs
@@ -200,7 +200,7 @@
     /// Collects what is known about each server.
     fn compare(&self, servers: Vec<LocatedServer>, homes: &PrefixHomes) -> Comparison {
         let distances = self.distances(&servers);
-        let placed = || servers.iter().zip(distances.iter().map(|distance| distance.time));
+        let placed = || servers.iter().zip(distances.iter().map(|distance| distance.rtt_ms));
         let seen: Vec<_> = placed().filter(|(it, _)| self.has_read_prefix(&it.known)).collect();
         let prefix_source = |(it, time)| self.prefix_source(it, time, &seen, homes).cloned();
         let prefix_sources: Vec<_> = placed().map(prefix_source).collect();
@@ -258,8 +258,8 @@
         let learned = self.relay.distances();
         let now = Instant::now();
         let distance = |it: &LocatedServer| Distance {
-            time: learned.time(&it.known.server.data_centre, it.reach, now),
-            weight: kilobytes * weights.of(it.reach),
+            rtt_ms: learned.rtt_ms(&it.known.server.data_centre, it.reach, now),
+            byte_cost_ms: kilobytes * weights.of(it.reach),
         };
         open.iter().map(distance).collect()
     }
--- a/src/relay/quarantine.rs
+++ b/src/relay/quarantine.rs
@@ -22,12 +22,12 @@
         return Ok(());
     }
     let request = call.fingerprint();
-    let left = relay.quarantine().remaining(&request, Instant::now());
-    match left {
+    let remaining = relay.quarantine().remaining(&request, Instant::now());
+    match remaining {
         None => Ok(()),
-        Some(left) => {
+        Some(remaining) => {
             let text = "the request is quarantined because backend servers ended while they ran it";
-            Err(Failure::new(Kind::Quarantined, text).after(Some(left)))
+            Err(Failure::new(Kind::Quarantined, text).after(Some(remaining)))
         }
     }
 }
--- a/src/relay/servers.rs
+++ b/src/relay/servers.rs
@@ -136,14 +136,14 @@
     recent_loads: ArcSwap<RecentLoads>,
     parts: Mutex<HeldParts>,
     /// The incarnations of the known servers and of some that were known before.
-    lives: Mutex<HashMap<BackendId, ServerIncarnation>>,
+    incarnations: Mutex<HashMap<BackendId, ServerIncarnation>>,
     /// The servers whose known incarnation is newer than the one in the leader's list.
     unreported: Mutex<BTreeSet<BackendId>>,
     /// Servers that announced their shutdown and are no longer listed. They can come back when the
     /// box takes other parts of the list, which may lag behind the announcement.
     departed: Mutex<HashMap<BackendId, Arc<KnownServer>>>,
-    doubts: Mutex<RestartCheckQueue>,
-    /// Notified when a server is added to `doubts`.
+    restart_checks: Mutex<RestartCheckQueue>,
+    /// Notified when a server is added to `restart_checks`.
     suspected: Notify,
 }
 
@@ -235,11 +235,11 @@
             return IncarnationUpdate::Outdated;
         };
         let mut life = known.life;
-        let heard = life.update(reported, IncarnationSource::Server, UnixMillis::now());
+        let update = life.update(reported, IncarnationSource::Server, UnixMillis::now());
         if life == known.life {
-            return heard;
+            return update;
         }
-        let renewed = match heard {
+        let renewed = match update {
             IncarnationUpdate::Restarted => KnownServer::new(known.server.clone(), life),
             IncarnationUpdate::Identified
             | IncarnationUpdate::Unchanged
@@ -249,28 +249,28 @@
         let mut by_id = self.listed.load().by_id.clone();
         by_id.insert(id.clone(), Arc::new(renewed));
         self.listed.store(Arc::new(ServerSnapshot::new(self.topology.as_ref(), by_id)));
-        lock(&self.lives).insert(id.clone(), life);
-        if matches!(heard, IncarnationUpdate::Identified | IncarnationUpdate::Restarted) {
+        lock(&self.incarnations).insert(id.clone(), life);
+        if matches!(update, IncarnationUpdate::Identified | IncarnationUpdate::Restarted) {
             lock(&self.unreported).insert(id.clone());
         }
-        if heard == IncarnationUpdate::Restarted {
+        if update == IncarnationUpdate::Restarted {
             end_incarnation(&known, &life);
             self.recent_loads.store(Arc::default());
         }
-        heard
+        update
     }
 
     /// Applies a server's report on itself. `asked` is what was known of the server when the
     /// request for the report was sent.
     pub fn apply_report(&self, asked: &KnownServer, report: &ServerReport) -> IncarnationUpdate {
         let id = &asked.server.id;
-        let heard = self.apply_incarnation(asked, report.incarnation);
+        let update = self.apply_incarnation(asked, report.incarnation);
         match report.incarnation.is_none() {
-            true => lock(&self.doubts).resolve_unknown(id, Instant::now()),
-            false => lock(&self.doubts).resolve(id),
+            true => lock(&self.restart_checks).resolve_unknown(id, Instant::now()),
+            false => lock(&self.restart_checks).resolve(id),
         }
         let Some(known) = self.find(id) else {
-            return heard;
+            return update;
         };
         // A report without an incarnation belongs to the one that was asked.
         let is_own = match report.incarnation.is_none() {
@@ -278,7 +278,7 @@
             false => known.incarnation() == report.incarnation,
         };
         if !is_own {
-            return heard;
+            return update;
         }
         if let Some(load) = report.load {
             known.state.report(load.running, load.waiting, Duration::ZERO);
@@ -295,7 +295,7 @@
             }
             Some(_) | None => {}
         }
-        heard
+        update
     }
 
     /// Marks a server as possibly restarted, so that it is asked for a report.
@@ -304,22 +304,22 @@
             return;
         }
         let random = rand::random();
-        if lock(&self.doubts).request(&known.server.id, Instant::now(), random) {
+        if lock(&self.restart_checks).request(&known.server.id, Instant::now(), random) {
             self.suspected.notify_one();
         }
     }
 
     /// Whether any server is due for a report, now or later.
     pub fn has_suspects(&self) -> bool {
-        lock(&self.doubts).next_due().is_some()
+        lock(&self.restart_checks).next_due().is_some()
     }
 
     /// The servers to ask for a report now. Waits until there is one.
     pub(super) async fn next_suspects(&self) -> Vec<Arc<KnownServer>> {
         loop {
             let (due, next) = {
-                let mut doubts = lock(&self.doubts);
-                (doubts.take_due(Instant::now()), doubts.next_due())
+                let mut restart_checks = lock(&self.restart_checks);
+                (restart_checks.take_due(Instant::now()), restart_checks.next_due())
             };
             let due: Vec<_> = due.iter().filter_map(|id| self.find(id)).collect();
             if !due.is_empty() {
@@ -337,9 +337,9 @@
     pub fn unreported_incarnations(&self) -> Vec<IncarnationReport> {
         let unreported = lock(&self.unreported);
         let known = unreported.iter().filter_map(|id| self.find(id));
-        let lives =
+        let incarnations =
             known.map(|known| IncarnationReport { server: known.key(), addr: known.server.addr });
-        lives.take(MAX_REPORTED_INCARNATIONS).collect()
+        incarnations.take(MAX_REPORTED_INCARNATIONS).collect()
     }
 
     fn parts(&self) -> MutexGuard<'_, HeldParts> {
@@ -396,24 +396,24 @@
     fn rebuild(&self, parts: &HeldParts) -> Vec<BackendId> {
         let held = self.listed.load();
         let (mut by_id, mut leaving) = (HashMap::new(), Vec::new());
-        let (mut lives, mut unreported) = (lock(&self.lives), BTreeSet::new());
+        let (mut incarnations, mut unreported) = (lock(&self.incarnations), BTreeSet::new());
         let mut departed = lock(&self.departed);
         // While the parts from before and after a change of the prefix length are both held, a
         // server may be in two of them. The entry of the part in the index wins.
         let all: HashMap<_, _> = parts.listed().map(|it| (it.server.id.clone(), it)).collect();
         for (id, listed) in all {
-            let before = by_id.get(&id).or(held.by_id.get(&id));
-            let life = lives.get(&id).copied();
-            let known = apply_listing(before.or(departed.get(&id)), life, &listed);
-            if before.is_some_and(|it| it.state.is_over()) {
+            let previous = by_id.get(&id).or(held.by_id.get(&id));
+            let life = incarnations.get(&id).copied();
+            let known = apply_listing(previous.or(departed.get(&id)), life, &listed);
+            if previous.is_some_and(|it| it.state.is_over()) {
                 // The recent loads may be those of the earlier incarnation.
                 self.recent_loads.store(Arc::default());
             }
             // A returning server is not asked if its incarnation was never known, or is the one in
             // the list.
-            let is_back = before.is_none()
+            let is_back = previous.is_none()
                 && life.is_some_and(|it| !it.id().is_none() && it.id() != listed.incarnation);
-            if is_back || before.is_some_and(|it| it.server.addr != known.server.addr) {
+            if is_back || previous.is_some_and(|it| it.server.addr != known.server.addr) {
                 self.mark_suspect(&known);
             }
             if listed.server.leaving && known.life.matches(listed.incarnation) {
@@ -424,18 +424,18 @@
             } else if !listed.server.leaving && !known.is_open() {
                 self.mark_suspect(&known);
             }
-            if before.is_some_and(|it| it.incarnation() < known.incarnation()) {
-                lock(&self.doubts).resolve(&id);
+            if previous.is_some_and(|it| it.incarnation() < known.incarnation()) {
+                lock(&self.restart_checks).resolve(&id);
             }
             match known.incarnation() > listed.incarnation {
                 true => unreported.insert(id.clone()),
                 false => unreported.remove(&id),
             };
-            lives.insert(id.clone(), known.life);
+            incarnations.insert(id.clone(), known.life);
             by_id.insert(id, known);
         }
-        if lives.len() > 2 * by_id.len() + UNLISTED_LIMIT {
-            lives.retain(|id, _| by_id.contains_key(id));
+        if incarnations.len() > 2 * by_id.len() + UNLISTED_LIMIT {
+            incarnations.retain(|id, _| by_id.contains_key(id));
         }
         departed.retain(|id, _| !by_id.contains_key(id));
         let gone =
@@ -445,7 +445,7 @@
             departed.clear();
         }
         drop(departed);
-        lock(&self.doubts).retain(|id| by_id.contains_key(id));
+        lock(&self.restart_checks).retain(|id| by_id.contains_key(id));
         *lock(&self.unreported) = unreported;
         self.listed.store(Arc::new(ServerSnapshot::new(self.topology.as_ref(), by_id)));
         leaving
--- a/tests/distance.rs
+++ b/tests/distance.rs
@@ -46,7 +46,7 @@
     residence_time: 1.0,
     queued_prompt_tokens: 0,
     uncached_prompt_tokens: 4_000,
-    distance: Distance { time: 0.0, weight: 0.0 },
+    distance: Distance { rtt_ms: 0.0, byte_cost_ms: 0.0 },
     memory_full: false,
     ejected: false,
 };
@@ -139,7 +139,7 @@
 fn distance(reach: Reach) -> Distance {
     let time = [0.0, 1.8, 16.0][reach as usize];
     let weight = kilobytes(REQUEST.0, REQUEST.1) * WEIGHTS.of(reach);
-    Distance { time, weight }
+    Distance { rtt_ms: time, byte_cost_ms: weight }
 }
 
 impl Fleet {
@@ -396,7 +396,7 @@
         queued in 0.0..50.0_f64, free in 0.0..11.0_f64, weight in 0.0..1e6_f64, random in 0.0..1.0_f64,
     ) {
         let near = BackendCandidate { requests: f64::from(SLOTS) + queued, ..IDLE };
-        let far = BackendCandidate { requests: free, distance: Distance { time: 16.0, weight }, ..IDLE };
+        let far = BackendCandidate { requests: free, distance: Distance { rtt_ms: 16.0, byte_cost_ms: weight }, ..IDLE };
         let gain = expected_wait(&MODEL, &near) - expected_wait(&MODEL, &far);
         prop_assume!(gain > 8.0);
         prop_assert_eq!(choose(&MODEL, &[near, far], || random), Some(1));
@@ -407,7 +407,7 @@
     #[test]
     fn crowded_server_is_passed_over(crowd in 6.0..11.0_f64, weight in 0.0..1e6_f64) {
         let near = BackendCandidate { requests: crowd, ..IDLE };
-        let far = BackendCandidate { requests: 3.0, distance: Distance { time: 16.0, weight }, ..IDLE };
+        let far = BackendCandidate { requests: 3.0, distance: Distance { rtt_ms: 16.0, byte_cost_ms: weight }, ..IDLE };
         prop_assert_eq!(choose_over_regions(&MODEL, &[near, far], 3.0, || 0.5), Some(1));
     }
 
@@ -418,7 +418,7 @@
         let near = BackendCandidate { requests: here, ..IDLE };
         let far = BackendCandidate { requests: there, distance: distance(Reach::Remote), ..IDLE };
         let gain = expected_wait(&MODEL, &near) - expected_wait(&MODEL, &far);
-        let weight = far.distance.weight;
+        let weight = far.distance.byte_cost_ms;
         prop_assume!((gain - weight).abs() > 1e-6);
         let chosen = choose(&MODEL, &[near, far], || 0.5);
         prop_assert_eq!(chosen, Some(usize::from(gain > weight)));
@@ -452,7 +452,7 @@
         let took = if place.is_multiple_of(3) { 16 } else { 40 + place };
         distances.record_connect(&far, Duration::from_millis(took), now);
     }
-    assert_eq!(distances.time(&far, Reach::Remote, now), 16.0);
+    assert_eq!(distances.rtt_ms(&far, Reach::Remote, now), 16.0);
     assert_eq!(distances.learned_rtts(now).len(), 1);
 }
 
@@ -460,18 +460,18 @@
 fn distance_that_is_stale_is_forgotten() {
     let (mut distances, begin) = (Distances::default(), Instant::now());
     let far = data_centre("b1");
-    let unlearned = distances.time(&far, Reach::Remote, begin);
+    let unlearned = distances.rtt_ms(&far, Reach::Remote, begin);
     for _ in 0..8 {
         distances.record_connect(&far, Duration::from_millis(70), begin);
     }
-    assert_eq!(distances.time(&far, Reach::Remote, begin), 70.0);
+    assert_eq!(distances.rtt_ms(&far, Reach::Remote, begin), 70.0);
     let later = begin + Duration::from_secs(600);
-    assert_eq!(distances.time(&far, Reach::Remote, later), unlearned);
+    assert_eq!(distances.rtt_ms(&far, Reach::Remote, later), unlearned);
     // Samples from before the expiry do not count together with later ones.
     for _ in 0..4 {
         distances.record_connect(&far, Duration::from_millis(90), later);
     }
-    assert_eq!(distances.time(&far, Reach::Remote, later), 90.0);
+    assert_eq!(distances.rtt_ms(&far, Reach::Remote, later), 90.0);
 }
 
 #[test]
@@ -479,9 +479,11 @@
     let (mut distances, now) = (Distances::default(), Instant::now());
     let (far, near) = (data_centre("b1"), data_centre("a2"));
     distances.record_connect(&far, Duration::from_millis(900), now);
-    assert!(distances.time(&far, Reach::Remote, now) < 100.0);
-    assert!(distances.time(&near, Reach::Regional, now) < distances.time(&far, Reach::Remote, now));
-    assert_eq!(distances.time(&near, Reach::Local, now), 0.0);
+    assert!(distances.rtt_ms(&far, Reach::Remote, now) < 100.0);
+    assert!(
+        distances.rtt_ms(&near, Reach::Regional, now) < distances.rtt_ms(&far, Reach::Remote, now)
+    );
+    assert_eq!(distances.rtt_ms(&near, Reach::Local, now), 0.0);
 }
 
 #[test]
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -102,7 +102,7 @@
     residence_time: 0.0,
     queued_prompt_tokens: 0,
     uncached_prompt_tokens: 1_000,
-    distance: Distance { time: 0.0, weight: 0.0 },
+    distance: Distance { rtt_ms: 0.0, byte_cost_ms: 0.0 },
     memory_full: false,
     ejected: false,
 };
