--- a/src/control/duties.rs
+++ b/src/control/duties.rs
@@ -26,7 +26,7 @@
 const CLOUD_TIME: Duration = Duration::from_millis(1_500);
 
 /// How long the group may take to fix a window's counts.
-pub(super) const SETTLE_TIME: Duration = Duration::from_millis(2_000);
+pub(super) const PROPOSE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Time between two looks at whether engines are to be ordered.
 const ORDER_TIME: Duration = Duration::from_millis(500);
@@ -45,7 +45,7 @@
 pub(crate) async fn run(node: Arc<Node>, settings: CloudSettings) {
     let client = Client::new(node.pool.clone(), settings.addr);
     tokio::spawn(notes::keep(node.clone()));
-    tokio::spawn(rollouts::keep(node.clone()));
+    tokio::spawn(rollouts::run(node.clone()));
     tokio::spawn(follow_list(node.clone(), client.clone(), settings.clone()));
     tokio::spawn(report_usage(node.clone(), client.clone(), settings.clone()));
     order_engines(node, client, settings).await;
@@ -188,7 +188,7 @@
 
 async fn report_one(node: &Node, client: &Client, term: Term, settle: Settle) -> bool {
     let window = settle.window;
-    let fixed = match node.propose_here(Command::Settle(settle), SETTLE_TIME).await {
+    let fixed = match node.propose_here(Command::Settle(settle), PROPOSE_TIMEOUT).await {
         Some(Reply::Settle(fixed)) => fixed,
         Some(_) | None => {
             tracing::warn!(event = "usage_not_fixed", window = %window);
--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -13,7 +13,7 @@
 
 use super::heartbeat::{BoxHeartbeat, HeartbeatReply};
 use super::models::ModelsBroadcast;
-use super::rollouts::Rollouts;
+use super::rollouts::LeaderRollouts;
 use super::spend::{Spender, Weights};
 use crate::decide::allowance::{Grant, LEASE_DURATION, TeamDemand};
 use crate::decide::capacity::OfferedLoad;
@@ -135,7 +135,7 @@
     pub(super) stored_outages: Option<Spells>,
     /// When the group was last asked to store engine models or outage histories.
     pub(super) models_stored_at: Option<Instant>,
-    pub(super) rollouts: Rollouts,
+    pub(super) rollouts: LeaderRollouts,
     pub(super) quarantine: FleetQuarantine,
     limit_leases: LimitLeases,
 }
@@ -167,7 +167,7 @@
             stored_models: Models::new(),
             stored_outages: None,
             models_stored_at: None,
-            rollouts: Rollouts::default(),
+            rollouts: LeaderRollouts::default(),
             quarantine: FleetQuarantine::default(),
             limit_leases: LimitLeases::default(),
         }
@@ -194,7 +194,7 @@
         self.record_relay_count(&box_id, beat.life, beat.relays);
         let allowed = self.grant(&beat.box_id, beat.life, beat.turn, &beat.demand, tolerance);
         let elapsed = self.started_at.elapsed().as_secs_f64();
-        let releases = self.rollouts.hear(elapsed, &key, &beat.trials);
+        let releases = self.rollouts.record_reports(elapsed, &key, &beat.trials);
         let last_heard = self.presence.record(&beat.box_id, now);
         self.loads.record_samples(beat.loads, now);
         self.record_samples(beat.samples);
@@ -458,7 +458,7 @@
             true => listed.into(),
             false => {
                 let is_counted =
-                    |server: &&Server| !self.rollouts.is_tried(&server.service, &server.release);
+                    |server: &&Server| !self.rollouts.is_on_trial(&server.service, &server.release);
                 listed.iter().filter(is_counted).cloned().collect()
             }
         };
@@ -483,7 +483,7 @@
         let mut counts: BTreeMap<&ServiceName, BTreeMap<&Release, usize>> = BTreeMap::new();
         for server in self.list.servers() {
             if self.rollouts.in_force(&server.service).is_none()
-                && !self.rollouts.is_tried(&server.service, &server.release)
+                && !self.rollouts.is_on_trial(&server.service, &server.release)
             {
                 *counts.entry(&server.service).or_default().entry(&server.release).or_default() +=
                     1;
--- a/src/control/notes.rs
+++ b/src/control/notes.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use super::duties::SETTLE_TIME;
+use super::duties::PROPOSE_TIMEOUT;
 use super::lead::{LeaderState, load_route_table, tolerance};
 use crate::decide::hazard::OutageHistory;
 use crate::decide::token_bucket::{ReserveNote, Tolerance};
@@ -38,7 +38,7 @@
             continue;
         };
         let pause = if matches!(command, Command::ReadNotes) { Duration::ZERO } else { NOTE_PAUSE };
-        match node.propose_here(command, SETTLE_TIME).await {
+        match node.propose_here(command, PROPOSE_TIMEOUT).await {
             Some(Reply::Quarantine(noted)) => {
                 tracing::info!(event = "quarantine_noted", requests = noted.len(), term = %term);
                 node.with_lead(term, |lead| lead.quarantine.apply_replicated(noted));
--- a/src/control/rollouts.rs
+++ b/src/control/rollouts.rs
@@ -1,4 +1,4 @@
-//! What operators ask of roll-outs, and what the leader does with them.
+//! Operator requests for rollouts, and the leader's task that carries rollouts out.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 
 use tokio::time::MissedTickBehavior;
 
-use super::duties::SETTLE_TIME;
+use super::duties::PROPOSE_TIMEOUT;
 use super::publish::{self, is_complete, no_group, other_answer, unacknowledged};
 use crate::decide::exposure::ExposureLimit;
 use crate::decide::releases::{ReleaseUpdate, TrialGrant, TrialReport};
@@ -19,23 +19,23 @@
 use crate::state::{Command, Reply};
 use crate::units::UnixMillis;
 
-/// How long the group may take to accept an order.
-const ORDER_TIME: Duration = Duration::from_millis(2_500);
+/// Timeout for the group to accept an order or an abort.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// How long the group may take for a read.
-const READ_TIME: Duration = Duration::from_millis(900);
+/// Timeout for a read from the group.
+const READ_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Time between two looks of the leader at the roll-outs: a bad release is taken back within a beat of the
-/// boxes and a look, 0.6 s, of the bound of some seconds.
-const LOOK: Duration = Duration::from_millis(100);
+/// Interval at which the leader checks the rollouts. A bad release is rolled back within one heartbeat of the
+/// boxes and one check, 0.6 s in all; the limit is a few seconds.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Orders a roll-out; the roll-out as the group has it.
+/// Orders a rollout and returns it as the group stored it.
 ///
 /// # Errors
-/// [`Kind::BadRequest`] for an order that makes no sense, [`Kind::NotFound`] for a service that the
-/// published document does not name, [`Kind::KeyConflict`] while another roll-out of the service is
-/// under way, [`Kind::NoGroup`] when the group cannot be read, [`Kind::Unacknowledged`] when it does not
-/// say whether it took the order.
+/// [`Kind::BadRequest`] if the order is invalid, [`Kind::NotFound`] if the published document does not
+/// contain the service, [`Kind::InProgress`] while another rollout of the service is in progress,
+/// [`Kind::NoGroup`] if the group is incomplete or cannot be read, [`Kind::Unacknowledged`] if the group does
+/// not confirm the order.
 pub async fn order(node: &Node, order: RolloutOrder) -> Result<Rollout, Failure> {
     order.check().map_err(|reason| Failure::new(Kind::BadRequest, reason))?;
     if !is_complete(node) {
@@ -51,7 +51,7 @@
         let text = format!("no service is named {}", order.service);
         return Err(Failure::new(Kind::NotFound, text));
     }
-    match node.access.propose(Command::OrderRollout(order), ORDER_TIME).await {
+    match node.access.propose(Command::OrderRollout(order), ORDER_TIMEOUT).await {
         Ok(Reply::OrderRollout(reply)) => match *reply {
             OrderReply::Taken(rollout) => {
                 tracing::info!(
@@ -62,7 +62,7 @@
             }
             OrderReply::Conflict(rollout) => {
                 let text = format!(
-                    "a roll-out of {} to {} is under way",
+                    "a rollout of {} to {} is already in progress",
                     rollout.order.service, rollout.order.release,
                 );
                 Err(Failure::new(Kind::InProgress, text))
@@ -73,25 +73,25 @@
     }
 }
 
-/// The last roll-out of a service. The read takes its place among all commands, so it is never an older
-/// state.
+/// Returns the last rollout of a service. The read goes through the log like any command, so it never
+/// returns stale state.
 ///
 /// # Errors
-/// [`Kind::NotFound`] where there is none, [`Kind::NoGroup`] when the group does not answer.
+/// [`Kind::NotFound`] if the service has had no rollout, [`Kind::NoGroup`] if the group does not answer.
 pub async fn show(node: &Node, service: &ServiceName) -> Result<Rollout, Failure> {
     let found = read(node).await?.rollouts.get(service).cloned();
-    found.ok_or_else(|| Failure::new(Kind::NotFound, format!("{service} has had no roll-out")))
+    found.ok_or_else(|| Failure::new(Kind::NotFound, format!("{service} has had no rollout")))
 }
 
-/// Takes the roll-out of a service back; the roll-out as the group has it then. One that is over stays as
-/// it ended.
+/// Rolls the rollout of a service back and returns its new state. A rollout that has ended is left
+/// unchanged.
 ///
 /// # Errors
 /// As for [`show`], and [`Kind::Unacknowledged`].
 pub async fn abort(node: &Node, service: &ServiceName) -> Result<Rollout, Failure> {
     let rollout = show(node, service).await?;
     let step = rollout.step(Phase::RolledBack, rollout.exposed);
-    match node.access.propose(Command::StepRollout(step), ORDER_TIME).await {
+    match node.access.propose(Command::StepRollout(step), ORDER_TIMEOUT).await {
         Ok(Reply::StepRollout(Some(rollout))) => Ok(*rollout),
         Ok(_) => Err(other_answer()),
         Err(error) => Err(unacknowledged(&error.to_string())),
@@ -99,29 +99,29 @@
 }
 
 async fn read(node: &Node) -> Result<Arc<RolloutBook>, Failure> {
-    match node.access.propose(Command::ReadRollouts, READ_TIME).await {
+    match node.access.propose(Command::ReadRollouts, READ_TIMEOUT).await {
         Ok(Reply::Rollouts(book)) => Ok(book),
         Ok(_) => Err(other_answer()),
         Err(error) => Err(no_group(&error.to_string())),
     }
 }
 
-/// The leader's part in all roll-outs.
+/// The leader's state of all rollouts.
 #[derive(Default)]
-pub(super) struct Rollouts {
-    /// What the group knows; `None` until this leader is sure to have it.
+pub(super) struct LeaderRollouts {
+    /// The state stored by the group; `None` until this leader has read it in its term.
     book: Option<Arc<RolloutBook>>,
-    led: BTreeMap<ServiceName, RolloutTracker>,
+    trackers: BTreeMap<ServiceName, RolloutTracker>,
 }
 
-impl Rollouts {
-    /// Takes what the group knows.
-    fn take(&mut self, book: Arc<RolloutBook>) {
-        let is_running = |service: &ServiceName, led: &mut RolloutTracker| {
+impl LeaderRollouts {
+    /// Replaces the stored state and drops the trackers of rollouts that have ended.
+    fn update(&mut self, book: Arc<RolloutBook>) {
+        let is_running = |service: &ServiceName, tracker: &mut RolloutTracker| {
             let rollout = book.rollouts.get(service);
-            rollout.is_some_and(|it| it.ordered == led.ordered() && !it.phase.is_over())
+            rollout.is_some_and(|it| it.ordered == tracker.ordered() && !it.phase.is_over())
         };
-        self.led.retain(is_running);
+        self.trackers.retain(is_running);
         self.book = Some(book);
     }
 
@@ -129,99 +129,101 @@
         self.book.iter().flat_map(|book| book.running())
     }
 
-    /// Whether this leader is sure of what the group knows.
+    /// Whether this leader has read the state that the group stores.
     pub(super) fn is_known(&self) -> bool {
         self.book.is_some()
     }
 
-    /// The release in force of a service, where it is known.
+    /// The release in force of a service, if known.
     pub(super) fn in_force(&self, service: &ServiceName) -> Option<&Release> {
         self.book.as_ref()?.in_force.get(service)
     }
 
-    /// Whether no roll-out is under way.
+    /// Whether no rollout is in progress.
     pub(super) fn is_idle(&self) -> bool {
         self.running().next().is_none()
     }
 
-    /// Whether a release of a service is being tried.
-    pub(super) fn is_tried(&self, service: &ServiceName, release: &Release) -> bool {
+    /// Whether a release of a service is being rolled out.
+    pub(super) fn is_on_trial(&self, service: &ServiceName, release: &Release) -> bool {
         self.running().any(|it| it.order.service == *service && it.order.release == *release)
     }
 
-    /// Takes a box's word; what it is told of the services' releases, nothing before this leader is sure.
-    pub(super) fn hear(
+    /// Records a box's trial reports and returns the release updates to answer with, or `None` until this leader
+    /// has read the stored state.
+    pub(super) fn record_reports(
         &mut self,
         now: f64,
         key: &(BoxId, Incarnation),
-        words: &BTreeMap<ServiceName, TrialReport>,
+        reports: &BTreeMap<ServiceName, TrialReport>,
     ) -> Option<BTreeMap<ServiceName, ReleaseUpdate>> {
         let book = self.book.clone()?;
         let in_force = book.in_force.iter().map(|(service, release)| {
-            let word = ReleaseUpdate { in_force: Some(release.clone()), trial: None };
-            (service.clone(), word)
+            let update = ReleaseUpdate { in_force: Some(release.clone()), trial: None };
+            (service.clone(), update)
         });
-        let mut answers: BTreeMap<_, _> = in_force.collect();
+        let mut updates: BTreeMap<_, _> = in_force.collect();
         for rollout in book.running() {
             let service = &rollout.order.service;
-            let word = words.get(service).filter(|word| word.ordered == rollout.ordered);
-            let permits = word.map_or(0, |word| self.grant(now, key, rollout, word));
+            let report = reports.get(service).filter(|report| report.ordered == rollout.ordered);
+            let permits = report.map_or(0, |report| self.grant(now, key, rollout, report));
             let trial = TrialGrant {
                 ordered: rollout.ordered,
                 release: rollout.order.release.clone(),
                 all_traffic: rollout.phase == Phase::Shift,
                 permits,
                 report_often: self
-                    .led
+                    .trackers
                     .get(service)
                     .is_some_and(RolloutTracker::should_report_often),
             };
-            answers.entry(service.clone()).or_default().trial = Some(trial);
+            updates.entry(service.clone()).or_default().trial = Some(trial);
         }
-        Some(answers)
+        Some(updates)
     }
 
-    /// The permits that a box gets with the answer to its word.
+    /// Records a box's report on one rollout and returns the trial permits to grant the box.
     fn grant(
         &mut self,
         now: f64,
         key: &(BoxId, Incarnation),
         rollout: &Rollout,
-        word: &TrialReport,
+        report: &TrialReport,
     ) -> u64 {
-        let led = self
-            .led
+        let tracker = self
+            .trackers
             .entry(rollout.order.service.clone())
             .or_insert_with(|| RolloutTracker::new(rollout));
-        led.record_report(now, key.clone(), word, rollout, rand::random())
+        tracker.record_report(now, key.clone(), report, rollout, rand::random())
     }
 
-    /// The step that is due, and what it goes by; `is_ready` says of which releases servers are there.
-    fn next(
+    /// Returns the next step that is due and the status it is based on. `is_ready` tells whether servers of the
+    /// ordered release are available.
+    fn due_step(
         &mut self,
         now: f64,
-        at: u64,
+        unix_ms: u64,
         limit: ExposureLimit,
         is_ready: impl Fn(&RolloutOrder) -> bool,
     ) -> Option<(RolloutStep, RolloutStatus)> {
         let book = self.book.clone()?;
         book.running().find_map(|rollout| {
-            let passed = at.saturating_sub(rollout.ordered) as f64 / 1_000.0;
-            let led = self.led.get_mut(&rollout.order.service);
-            next_step(rollout, led, now, passed, is_ready(&rollout.order), limit)
+            let elapsed = unix_ms.saturating_sub(rollout.ordered) as f64 / 1_000.0;
+            let tracker = self.trackers.get_mut(&rollout.order.service);
+            next_step(rollout, tracker, now, elapsed, is_ready(&rollout.order), limit)
         })
     }
 }
 
-/// What the operators allow a release that may be bad.
-pub(super) fn limit_of(node: &Node) -> ExposureLimit {
+/// The configured limit on the exposure of a release on trial.
+fn exposure_limit(node: &Node) -> ExposureLimit {
     let RolloutSettings { share, slack, .. } = node.settings.rollout;
     ExposureLimit { share, slack }
 }
 
-/// Carries the roll-outs on while this process leads.
-pub(super) async fn keep(node: Arc<Node>) {
-    let mut timer = tokio::time::interval(LOOK);
+/// Advances the rollouts while this process is the leader.
+pub(super) async fn run(node: Arc<Node>) {
+    let mut timer = tokio::time::interval(CHECK_INTERVAL);
     timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut applied = node.board.follow_rollouts();
     let mut leading = node.board.follow_leading();
@@ -237,10 +239,10 @@
         let Some(command) = next_command(&node, term) else {
             continue;
         };
-        match node.propose_here(command, SETTLE_TIME).await {
-            // Behind the answer the blackboard has all that was decided before this term.
+        match node.propose_here(command, PROPOSE_TIMEOUT).await {
+            // Once the reply is here, the blackboard contains everything committed before this term.
             Some(Reply::Rollouts(_)) => {
-                node.with_lead(term, |lead| lead.rollouts.take(node.board.rollouts()));
+                node.with_lead(term, |lead| lead.rollouts.update(node.board.rollouts()));
                 node.listed.notify_waiters();
             }
             Some(_) => {}
@@ -249,14 +251,15 @@
     }
 }
 
+/// The next command to propose: the initial read, a note of releases or a rollout step.
 fn next_command(node: &Node, term: Term) -> Option<Command> {
-    let limit = limit_of(node);
+    let limit = exposure_limit(node);
     let applied = node.board.rollouts();
     node.with_lead(term, |lead| {
         let now = lead.started_at.elapsed().as_secs_f64();
         match &lead.rollouts.book {
             None => return Some(Command::ReadRollouts),
-            Some(book) if !Arc::ptr_eq(book, &applied) => lead.rollouts.take(applied),
+            Some(book) if !Arc::ptr_eq(book, &applied) => lead.rollouts.update(applied),
             Some(_) => {}
         }
         if let Some(running) = lead.releases_to_store() {
@@ -264,10 +267,10 @@
         }
         let list = &lead.list;
         let is_ready = |order: &RolloutOrder| list.can_serve(&order.service, &order.release);
-        let (step, facts) = lead.rollouts.next(now, UnixMillis::now().0, limit, is_ready)?;
+        let (step, status) = lead.rollouts.due_step(now, UnixMillis::now().0, limit, is_ready)?;
         tracing::info!(
             event = "rollout_step", service = %step.service, phase = %step.phase, exposed = step.exposed,
-            passed = facts.elapsed, came = facts.requests, verdict = ?facts.verdict, term = %term,
+            passed = status.elapsed, came = status.requests, verdict = ?status.verdict, term = %term,
         );
         Some(Command::StepRollout(step))
     })
