--- a/src/control/duties.rs
+++ b/src/control/duties.rs
@@ -8,7 +8,7 @@
 use tokio::time::{Interval, MissedTickBehavior};
 
 use super::lead::LeaderState;
-use super::spend::OrderAnswer;
+use super::spend::OrderOutcome;
 use super::{notes, rollouts};
 use crate::ids::{BackendId, Term, Window};
 use crate::node::Node;
@@ -153,13 +153,13 @@
             data_centre = %order.data_centre, spot = order.spot, fence = %term, ?answer,
         );
         node.with_lead(term, |lead| {
-            let answer = match answer {
-                Ok(DutyAnswer::Taken) => OrderAnswer::Taken,
-                Ok(DutyAnswer::Unavailable) => OrderAnswer::Unavailable,
-                Ok(DutyAnswer::Fenced) => OrderAnswer::Fenced,
-                Err(_) => OrderAnswer::Unknown,
+            let outcome = match answer {
+                Ok(DutyAnswer::Taken) => OrderOutcome::Accepted,
+                Ok(DutyAnswer::Unavailable) => OrderOutcome::Unavailable,
+                Ok(DutyAnswer::Fenced) => OrderOutcome::Fenced,
+                Err(_) => OrderOutcome::Unknown,
             };
-            lead.spender.record_answer(lead.started_at.elapsed().as_secs_f64(), &order, answer);
+            lead.spender.record_outcome(lead.started_at.elapsed().as_secs_f64(), &order, outcome);
         });
     }
 }
--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -14,7 +14,7 @@
 use super::heartbeat::{BoxHeartbeat, HeartbeatReply};
 use super::models::ModelsBroadcast;
 use super::rollouts::LeaderRollouts;
-use super::spend::{Spender, Weights};
+use super::spend::{Autoscaler, CostWeights};
 use crate::decide::allowance::{Grant, LEASE_DURATION, TeamDemand};
 use crate::decide::capacity::OfferedLoad;
 use crate::decide::engine::{EngineLearner, EngineModel, Sample};
@@ -123,7 +123,7 @@
     /// Loads that the backend servers reported to the relays.
     pub(super) loads: LoadPool,
     pub(super) settled: Window,
-    pub(super) spender: Spender,
+    pub(super) spender: Autoscaler,
     /// The engine models pooled over all relays.
     pub(super) models: Models,
     /// Models fitted by the leader, from the samples of boxes that have too few for a fit of their own.
@@ -141,7 +141,7 @@
 }
 
 impl LeaderState {
-    fn new(term: Term, is_first: bool, weights: Weights) -> Self {
+    fn new(term: Term, is_first: bool, weights: CostWeights) -> Self {
         Self {
             term,
             started_at: Instant::now(),
@@ -160,7 +160,7 @@
             logged_unreadable: BTreeSet::new(),
             loads: LoadPool::default(),
             settled: Window(0),
-            spender: Spender::new(is_first, weights),
+            spender: Autoscaler::new(is_first, weights),
             models: Models::new(),
             learners: BTreeMap::new(),
             models_broadcast: ModelsBroadcast::default(),
@@ -403,7 +403,7 @@
         }
     }
 
-    /// Passes the summed load that the present relays reported on to the spender, and pools their engine models.
+    /// Passes the summed load that the present relays reported on to the autoscaler, and pools their engine models.
     fn record_demand(&mut self) {
         let mut sums: BTreeMap<ServiceName, OfferedLoad> = BTreeMap::new();
         let present = self
@@ -416,7 +416,7 @@
         }
         let age =
             heartbeat_interval(self.presence.estimated_relays(Instant::now())).as_secs_f64() / 2.0;
-        self.spender.note(self.started_at.elapsed().as_secs_f64(), age, &sums);
+        self.spender.record_load(self.started_at.elapsed().as_secs_f64(), age, &sums);
         self.pool_models();
     }
 
@@ -462,7 +462,7 @@
                 listed.iter().filter(is_counted).cloned().collect()
             }
         };
-        self.spender.orders(now, table, &self.models, &servers)
+        self.spender.due_orders(now, table, &self.models, &servers)
     }
 
     /// Whether the group may store releases of a service: of each published one, and of up to
@@ -602,9 +602,9 @@
     /// Runs `f` with the soft state of `term`, which starts empty if the state held is of another term.
     pub(super) fn with_lead<R>(&self, term: Term, f: impl FnOnce(&mut LeaderState) -> R) -> R {
         let is_first = self.board.document().version.0 == 0;
-        let weights = self.settings.cloud.as_ref().map(|cloud| Weights {
-            late: cloud.late_weight.duration().as_secs_f64(),
-            surge: cloud.surge,
+        let weights = self.settings.cloud.as_ref().map(|cloud| CostWeights {
+            late_cost: cloud.late_weight.duration().as_secs_f64(),
+            surge_factor: cloud.surge,
         });
         let weights = weights.unwrap_or_default();
         let mut held = lock(&self.lead);
--- a/src/control/notes.rs
+++ b/src/control/notes.rs
@@ -99,7 +99,7 @@
         }
         self.stored_models = notes.engines;
         if self.stored_outages.is_none() {
-            self.spender.restore(&notes.spells);
+            self.spender.restore_outages(&notes.spells);
         }
         self.stored_outages = Some(notes.spells);
     }
@@ -107,7 +107,7 @@
     /// What is known of dry spells, where it says something else than what the group has kept.
     fn next_spells(&self) -> Option<Spells> {
         let kept = self.stored_outages.as_ref()?;
-        let spells = self.spender.learned();
+        let spells = self.spender.learned_outages();
         let differs = |(service, learned): (&ServiceName, &OutageHistory)| {
             learned.differs(&kept.get(service).cloned().unwrap_or_default())
         };
--- a/src/control/spend.rs
+++ b/src/control/spend.rs
@@ -1,4 +1,4 @@
-//! Orders engines for the services that the platform takes orders for, by the plan of
+//! Orders engines for the services that are scaled automatically. The plan is computed by
 //! [`crate::decide::spend`].
 
 use std::collections::BTreeMap;
@@ -19,74 +19,79 @@
 use crate::relay::table::{RouteTable, Scaling, Service};
 use crate::state::notes::{Models, Spells};
 
-/// Seconds of traffic before it says more than what there was at the start.
-const START_TIME: f64 = 5.0;
+/// Seconds of traffic after which the measured load replaces the initial number of engines.
+const FIRST_TRAFFIC_TIME: f64 = 5.0;
 
-/// Seconds in which a new leader hears of every relay.
-const HEARD_TIME: f64 = 1.2;
+/// Seconds within which a new leader has a report from every relay.
+const REPORT_TIME: f64 = 1.2;
 
-/// How long the list shows no further engines before it is taken to be whole: two readings.
-const SETTLE_TIME: Duration = Duration::from_millis(1_900);
+/// How long the list must not have grown to count as complete: two polls of the list.
+const LIST_SETTLE_TIME: Duration = Duration::from_millis(1_900);
 
-/// The part of what there was at the start that stays on demand until reclaimable engines serve,
-/// while there is no traffic yet.
-const FIRST_PART: u32 = 4;
+/// The divisor of the initial number of engines that gives the on-demand engines to keep until spot engines
+/// serve, while there is no traffic yet.
+const INITIAL_DIVISOR: u32 = 4;
 
-/// What the leader knows of its orders.
+/// The leader's state for ordering engines.
 #[derive(Debug, Default)]
-pub(crate) struct Spender {
+pub(crate) struct Autoscaler {
     demands: BTreeMap<ServiceName, DemandEstimator>,
-    books: BTreeMap<ServiceName, OrderTracker>,
-    spells: BTreeMap<ServiceName, OutagePredictor>,
-    /// What was last said of the need.
-    said: BTreeMap<ServiceName, EngineTarget>,
-    /// Engines on demand that there were before the first order.
-    first: BTreeMap<ServiceName, u32>,
-    /// The most engines on demand that were listed, and since when.
-    grown: BTreeMap<ServiceName, (u32, Instant)>,
-    /// Whether this leader has seen what there was before the first order. A later one waits until
-    /// it has measured the traffic.
-    knows_start: bool,
-    weights: Weights,
+    orders: BTreeMap<ServiceName, OrderTracker>,
+    outages: BTreeMap<ServiceName, OutagePredictor>,
+    /// The target last computed and logged for each service.
+    targets: BTreeMap<ServiceName, EngineTarget>,
+    /// On-demand engines that existed before the first order.
+    initial: BTreeMap<ServiceName, u32>,
+    /// The largest number of on-demand engines listed so far, and when it was reached.
+    most_listed: BTreeMap<ServiceName, (u32, Instant)>,
+    /// Whether no leader can have ordered before this one, so that the listed engines are the initial ones. A
+    /// later leader orders nothing until it has measured the traffic.
+    knows_initial: bool,
+    weights: CostWeights,
 }
 
-/// What the operators weigh engines by.
+/// The configured weights of costs.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Weights {
-    /// What a late request weighs, in seconds of an engine at price 1.
-    pub(crate) late: f64,
-    /// How many times the peak of late reclaimable engines are held for.
-    pub(crate) surge: f64,
+pub(crate) struct CostWeights {
+    /// The cost of a late request, in seconds of an engine at price 1.
+    pub(crate) late_cost: f64,
+    /// The factor of the recent peak load for which spot engines are kept.
+    pub(crate) surge_factor: f64,
 }
 
-impl Spender {
-    /// The orders of a leader; `knows_start` says that nobody can have ordered before it.
-    pub(crate) fn new(knows_start: bool, weights: Weights) -> Self {
-        Self { knows_start, weights, ..Self::default() }
+impl Autoscaler {
+    /// Creates the state for a new leader. `knows_initial` tells that no leader can have ordered before it.
+    pub(crate) fn new(knows_initial: bool, weights: CostWeights) -> Self {
+        Self { knows_initial, weights, ..Self::default() }
     }
 
-    /// Notes what is offered to each service over all boxes, at `now` in seconds, as reports of `age` seconds
-    /// on the mean have it.
-    pub(crate) fn note(&mut self, now: f64, age: f64, sums: &BTreeMap<ServiceName, OfferedLoad>) {
+    /// Records the load offered to each service, summed over all boxes, at `now` in seconds. The reports are
+    /// `age` seconds old on average.
+    pub(crate) fn record_load(
+        &mut self,
+        now: f64,
+        age: f64,
+        sums: &BTreeMap<ServiceName, OfferedLoad>,
+    ) {
         for (service, sum) in sums {
             self.demands.entry(service.clone()).or_default().record(now, age, *sum);
         }
     }
 
-    /// What is learned of dry spells.
-    pub(crate) fn learned(&self) -> Spells {
-        self.spells.iter().map(|(service, spells)| (service.clone(), spells.learned())).collect()
+    /// What was learned about spot outages, for the group to store.
+    pub(crate) fn learned_outages(&self) -> Spells {
+        self.outages.iter().map(|(service, outages)| (service.clone(), outages.learned())).collect()
     }
 
-    /// Goes by what a former leader learned of them.
-    pub(crate) fn restore(&mut self, learned: &Spells) {
+    /// Restores what a previous leader learned about spot outages.
+    pub(crate) fn restore_outages(&mut self, learned: &Spells) {
         for (service, learned) in learned {
-            self.spells.entry(service.clone()).or_default().restore(learned.clone());
+            self.outages.entry(service.clone()).or_default().restore(learned.clone());
         }
     }
 
-    /// The orders that are due now.
-    pub(crate) fn orders(
+    /// Computes the orders that are due for all scaled services.
+    pub(crate) fn due_orders(
         &mut self,
         now: f64,
         table: &RouteTable,
@@ -97,12 +102,14 @@
         scaled
             .flat_map(|(service, scaling)| {
                 let model = models.get(&service.name).copied().unwrap_or_default();
-                self.orders_of(now, service, scaling, &model, servers)
+                self.due_service_orders(now, service, scaling, &model, servers)
             })
             .collect()
     }
 
-    fn orders_of(
+    /// Computes the orders that are due for one service. On-demand engines are reduced only once the list is
+    /// complete.
+    fn due_service_orders(
         &mut self,
         now: f64,
         service: &Service,
@@ -111,39 +118,40 @@
         servers: &[Server],
     ) -> Vec<Order> {
         let servers: Vec<_> = servers.iter().filter(|it| it.service == service.name).collect();
-        let sites = self.sites(now, &service.name, scaling, &servers);
+        let data_centres = self.count_engines(now, &service.name, scaling, &servers);
         let listed = servers.iter().filter(|it| !it.spot).count() as u32;
-        self.note_spells(now, &service.name, scaling, &servers);
+        self.observe_outages(now, &service.name, scaling, &servers);
         let slots = mean_slots(&servers);
         let market = self.market(&service.name, scaling, slots);
-        let serving = ServingEngines::of(&sites);
-        let need = self.need(now, &service.name, listed, model, &market, serving);
-        let settled = self.is_settled(&service.name, listed);
-        if need.spot_target == 0 {
+        let serving = ServingEngines::of(&data_centres);
+        let target = self.target(now, &service.name, listed, model, &market, serving);
+        let is_complete = self.is_list_complete(&service.name, listed);
+        if target.spot_target == 0 {
             return Vec::new();
         }
-        let bounds = EngineLimits {
+        let limits = EngineLimits {
             min: scaling.least,
             max: scaling.most,
             has_spot: scaling.spot_price.is_some_and(|price| price < 1.0),
         };
-        let plans = plan(&sites, need, bounds);
-        let spells = self.spells.entry(service.name.clone()).or_default();
+        let plans = plan(&data_centres, target, limits);
+        let predictor = self.outages.entry(service.name.clone()).or_default();
         for plan in plans.iter().filter(|plan| plan.spot == 0) {
-            spells.record_unwanted(&plan.data_centre);
+            predictor.record_unwanted(&plan.data_centre);
         }
-        let boot = scaling.boot_time.as_secs_f64();
-        let book = self.books.entry(service.name.clone()).or_default();
+        let boot_time = scaling.boot_time.as_secs_f64();
+        let tracker = self.orders.entry(service.name.clone()).or_default();
         let mut orders = Vec::new();
-        for (plan, site) in plans.iter().filter_map(|it| Some((it, find(&sites, it)?))) {
-            let wanted = [(true, plan.spot, site.spot), (false, plan.on_demand, site.on_demand)];
-            for (spot, count, there) in wanted {
-                if !spot && !settled && !there.is_exceeded_by(count) {
+        for (plan, current) in plans.iter().filter_map(|it| Some((it, find(&data_centres, it)?))) {
+            let pools =
+                [(true, plan.spot, current.spot), (false, plan.on_demand, current.on_demand)];
+            for (spot, count, current) in pools {
+                if !spot && !is_complete && !current.is_exceeded_by(count) {
                     continue;
                 }
-                let place = EnginePool { data_centre: plan.data_centre.clone(), spot };
-                if book.is_due(now, &place, count, there, boot) {
-                    let (service, data_centre) = (service.name.clone(), place.data_centre);
+                let pool = EnginePool { data_centre: plan.data_centre.clone(), spot };
+                if tracker.is_due(now, &pool, count, current, boot_time) {
+                    let (service, data_centre) = (service.name.clone(), pool.data_centre);
                     orders.push(Order { service, data_centre, count, spot });
                 }
             }
@@ -151,21 +159,24 @@
         orders
     }
 
-    /// Whether the list shows all engines on demand that there are. It lags, and shows them one after the
-    /// other; until then none of them are given up.
-    fn is_settled(&mut self, service: &ServiceName, listed: u32) -> bool {
-        let (held, since) = *self.grown.entry(service.clone()).or_insert((listed, Instant::now()));
-        if listed > held {
-            self.grown.insert(service.clone(), (listed, Instant::now()));
+    /// Whether the list shows all existing on-demand engines. The list lags and shows new engines one by one;
+    /// on-demand engines are not reduced until it is complete.
+    fn is_list_complete(&mut self, service: &ServiceName, listed: u32) -> bool {
+        let (most, since) =
+            *self.most_listed.entry(service.clone()).or_insert((listed, Instant::now()));
+        if listed > most {
+            self.most_listed.insert(service.clone(), (listed, Instant::now()));
             return false;
         }
-        since.elapsed() > SETTLE_TIME
+        since.elapsed() > LIST_SETTLE_TIME
     }
 
-    /// How many engines are needed; none while it is not known. Until there is traffic to go by, as many as there were at the
-    /// start: `listed` counts those on demand, also those that leave by our orders. The list lags, so
-    /// it shows them one after the other.
-    fn need(
+    /// Computes how many engines are needed; zero while that is unknown.
+    ///
+    /// Until there is enough traffic to measure, the target is the initial number of engines. `listed` counts the
+    /// on-demand engines, including those that leave by our orders. The list lags and shows engines one by one,
+    /// so its maximum counts.
+    fn target(
         &mut self,
         now: f64,
         service: &ServiceName,
@@ -174,14 +185,14 @@
         market: &Market,
         serving: ServingEngines,
     ) -> EngineTarget {
-        let demand = self.demands.entry(service.clone()).or_default();
-        let wait = if self.knows_start { START_TIME } else { HEARD_TIME };
-        let held = self.said.get(service).map_or(0, |need| need.spot_target);
-        if let Some(need) = demand.target(now, wait, model, market, serving, held) {
-            if self.said.insert(service.clone(), need) != Some(need) {
+        let estimator = self.demands.entry(service.clone()).or_default();
+        let wait = if self.knows_initial { FIRST_TRAFFIC_TIME } else { REPORT_TIME };
+        let previous = self.targets.get(service).map_or(0, |target| target.spot_target);
+        if let Some(target) = estimator.target(now, wait, model, market, serving, previous) {
+            if self.targets.insert(service.clone(), target) != Some(target) {
                 tracing::info!(
-                    event = "engines_needed", %service, ample = need.spot_target, bare = need.min_total,
-                    tokens = demand.peak() as u64, rate = model.rate as u64,
+                    event = "engines_needed", %service, ample = target.spot_target, bare = target.min_total,
+                    tokens = estimator.peak() as u64, rate = model.rate as u64,
                     base_ms = (model.base * 1_000.0) as u64, wait_ms = (model.wait * 1_000.0) as u64, late = model.late,
                     pace_ms = (model.pace * 1_000.0) as u64, events = model.events,
                     seen = model.weight as u64, away = market.outages.fraction,
@@ -189,44 +200,45 @@
                     next = 1.0 - market.forecast.probabilities[0],
                 );
             }
-            return need;
+            return target;
         }
-        if !self.knows_start {
+        if !self.knows_initial {
             return EngineTarget::default();
         }
-        let first = self.first.entry(service.clone()).or_insert(0);
-        *first = (*first).max(listed);
-        match demand.has_traffic() {
+        let initial = self.initial.entry(service.clone()).or_insert(0);
+        *initial = (*initial).max(listed);
+        match estimator.has_traffic() {
             true => EngineTarget {
-                spot_target: market.initial_spot_engines(*first),
-                min_total: *first,
+                spot_target: market.initial_spot_engines(*initial),
+                min_total: *initial,
                 has_traffic: true,
                 ..EngineTarget::default()
             },
             false => EngineTarget {
-                spot_target: market.initial_spot_engines(*first),
-                min_total: first.div_ceil(FIRST_PART),
+                spot_target: market.initial_spot_engines(*initial),
+                min_total: initial.div_ceil(INITIAL_DIVISOR),
                 ..EngineTarget::default()
             },
         }
     }
 
-    fn sites(
+    /// Counts the engines of a service in each data centre, with those that are ordered and still boot.
+    fn count_engines(
         &mut self,
         now: f64,
         service: &ServiceName,
         scaling: &Scaling,
         servers: &[&Server],
     ) -> Vec<DataCentreEngines> {
-        let boot = scaling.boot_time.as_secs_f64();
-        let book = self.books.entry(service.clone()).or_default();
-        let sites = scaling.prices.iter().map(|(data_centre, price)| {
-            let there =
+        let boot_time = scaling.boot_time.as_secs_f64();
+        let tracker = self.orders.entry(service.clone()).or_default();
+        let data_centres = scaling.prices.iter().map(|(data_centre, price)| {
+            let present =
                 servers.iter().copied().filter(|it| it.data_centre == *data_centre && !it.leaving);
-            let (spot, on_demand): (Vec<_>, Vec<_>) = there.partition(|it| it.spot);
+            let (spot, on_demand): (Vec<_>, Vec<_>) = present.partition(|it| it.spot);
             let mut count = |spot: bool, serving: usize| {
-                let place = EnginePool { data_centre: data_centre.clone(), spot };
-                book.engine_count(now, &place, serving as u32, boot)
+                let pool = EnginePool { data_centre: data_centre.clone(), spot };
+                tracker.engine_count(now, &pool, serving as u32, boot_time)
             };
             DataCentreEngines {
                 data_centre: data_centre.clone(),
@@ -235,96 +247,102 @@
                 on_demand: count(false, on_demand.len()),
             }
         });
-        sites.collect()
+        data_centres.collect()
     }
 
-    /// Engines at the mean price of the data centres.
+    /// Describes the market for engines of a service, with the mean price over its data centres.
     fn market(&mut self, service: &ServiceName, scaling: &Scaling, slots: f64) -> Market {
-        let places = scaling.prices.len().max(1);
-        let on_demand = scaling.prices.values().sum::<f64>() / places as f64;
-        let spells = self.spells.entry(service.clone()).or_default();
-        let boot = scaling.boot_time.as_secs_f64();
+        let data_centres = scaling.prices.len().max(1);
+        let on_demand = scaling.prices.values().sum::<f64>() / data_centres as f64;
+        let predictor = self.outages.entry(service.clone()).or_default();
+        let boot_time = scaling.boot_time.as_secs_f64();
         Market {
-            data_centres: places as u32,
+            data_centres: data_centres as u32,
             max_per_data_centre: scaling.most,
             on_demand_price: on_demand,
             spot_price: on_demand * scaling.spot_price.unwrap_or(1.0),
-            late_cost: self.weights.late,
-            surge_factor: self.weights.surge,
+            late_cost: self.weights.late_cost,
+            surge_factor: self.weights.surge_factor,
             slots,
-            boot_time: boot,
-            outages: spells.outage_stats(),
-            forecast: spells.forecast(boot),
+            boot_time,
+            outages: predictor.outage_stats(),
+            forecast: predictor.forecast(boot_time),
         }
     }
 
-    /// Learns when data centres have no reclaimable engines from what is listed.
-    fn note_spells(
+    /// Learns from the listed servers when data centres have no spot engines.
+    fn observe_outages(
         &mut self,
         now: f64,
         service: &ServiceName,
         scaling: &Scaling,
         servers: &[&Server],
     ) {
-        let mut seen: BTreeMap<&DataCentre, SpotStatus> =
+        let mut statuses: BTreeMap<&DataCentre, SpotStatus> =
             scaling.prices.keys().map(|data_centre| (data_centre, SpotStatus::default())).collect();
         for server in servers.iter().filter(|it| it.spot) {
-            if let Some(seen) = seen.get_mut(&server.data_centre) {
-                let count = if server.leaving { &mut seen.leaving } else { &mut seen.serving };
+            if let Some(status) = statuses.get_mut(&server.data_centre) {
+                let count = if server.leaving { &mut status.leaving } else { &mut status.serving };
                 *count += 1;
                 let left = server.leaves_in.map(|left| left.duration().as_secs_f64());
-                seen.notice = if left > seen.notice { left } else { seen.notice };
+                status.notice = if left > status.notice { left } else { status.notice };
             }
         }
-        let seen: Vec<_> = seen.into_iter().map(|(place, seen)| (place.clone(), seen)).collect();
-        self.spells.entry(service.clone()).or_default().observe(now, &seen);
+        let statuses: Vec<_> = statuses
+            .into_iter()
+            .map(|(data_centre, status)| (data_centre.clone(), status))
+            .collect();
+        self.outages.entry(service.clone()).or_default().observe(now, &statuses);
     }
 
-    /// Notes what became of an order.
-    pub(crate) fn record_answer(&mut self, now: f64, order: &Order, answer: OrderAnswer) {
-        let book = self.books.entry(order.service.clone()).or_default();
-        match answer {
-            OrderAnswer::Taken | OrderAnswer::Unknown => {
-                book.record_order(now, place_of(order), order.count);
+    /// Records the outcome of an order.
+    pub(crate) fn record_outcome(&mut self, now: f64, order: &Order, outcome: OrderOutcome) {
+        let tracker = self.orders.entry(order.service.clone()).or_default();
+        match outcome {
+            OrderOutcome::Accepted | OrderOutcome::Unknown => {
+                tracker.record_order(now, pool_of(order), order.count);
             }
-            OrderAnswer::Unavailable => book.record_refusal(now, place_of(order)),
-            // Another leader acts: that says nothing of engines.
-            OrderAnswer::Fenced => {}
+            OrderOutcome::Unavailable => tracker.record_refusal(now, pool_of(order)),
+            // A newer leader is active; this tells nothing about engines.
+            OrderOutcome::Fenced => {}
         }
-        let spells = self.spells.entry(order.service.clone()).or_default();
-        match answer {
-            OrderAnswer::Taken if order.spot && order.count > 0 => {
-                spells.record_acceptance(now, &order.data_centre);
+        let predictor = self.outages.entry(order.service.clone()).or_default();
+        match outcome {
+            OrderOutcome::Accepted if order.spot && order.count > 0 => {
+                predictor.record_acceptance(now, &order.data_centre);
             }
-            OrderAnswer::Unavailable => spells.record_refusal(now, &order.data_centre),
+            OrderOutcome::Unavailable => predictor.record_refusal(now, &order.data_centre),
             _ => {}
         }
     }
 }
 
-/// What became of an order.
+/// The outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum OrderAnswer {
-    /// It is carried out.
-    Taken,
-    /// It may be: no answer came.
+pub(crate) enum OrderOutcome {
+    /// The platform accepted the order.
+    Accepted,
+    /// No answer arrived; the platform may have accepted the order.
     Unknown,
-    /// There are no reclaimable engines there.
+    /// The platform has no spot engines in that data centre.
     Unavailable,
-    /// Another leader acts.
+    /// The platform rejected the order because a newer leader is active.
     Fenced,
 }
 
-fn place_of(order: &Order) -> EnginePool {
+fn pool_of(order: &Order) -> EnginePool {
     EnginePool { data_centre: order.data_centre.clone(), spot: order.spot }
 }
 
-/// Requests that an engine runs at the same time, on the mean; 0 where there are none.
+/// The mean number of requests that an engine runs concurrently; 0 if there are no engines.
 fn mean_slots(servers: &[&Server]) -> f64 {
     let sum: f64 = servers.iter().map(|it| f64::from(it.slots)).sum();
     sum / servers.len().max(1) as f64
 }
 
-fn find<'a>(sites: &'a [DataCentreEngines], plan: &EnginePlan) -> Option<&'a DataCentreEngines> {
-    sites.iter().find(|site| site.data_centre == plan.data_centre)
+fn find<'a>(
+    data_centres: &'a [DataCentreEngines],
+    plan: &EnginePlan,
+) -> Option<&'a DataCentreEngines> {
+    data_centres.iter().find(|it| it.data_centre == plan.data_centre)
 }
