--- a/src/control/duties.rs
+++ b/src/control/duties.rs
@@ -1,6 +1,6 @@
-//! The leader's duties towards the platform: it reads the list of backend servers for all boxes, reports the
-//! teams' use and orders engines. Each has its own task: a call that the platform leaves unanswered
-//! holds no other up.
+//! The leader's calls to the platform: it polls the list of backend servers for all boxes, reports the usage of
+//! teams and orders engines. Each runs in a task of its own, so that a call without an answer does not delay
+//! the others.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime};
@@ -19,48 +19,50 @@
 use crate::state::usage::Settle;
 use crate::state::{Command, Reply};
 
-/// Time between two looks at what is due.
-const LOOK: Duration = Duration::from_millis(200);
+/// Interval at which due usage reports are checked.
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How long the platform may take.
-const CLOUD_TIME: Duration = Duration::from_millis(1_500);
+/// Timeout for a call to the platform.
+const PLATFORM_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How long the group may take to fix a window's counts.
+/// Timeout for the group to accept a command of the leader.
 pub(super) const PROPOSE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Time between two looks at whether engines are to be ordered.
-const ORDER_TIME: Duration = Duration::from_millis(500);
+/// Interval at which due orders for engines are checked.
+const ORDER_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Pause after a report that the platform did not take.
+/// Pause after a usage report that failed.
 const REPORT_PAUSE: Duration = Duration::from_millis(1_000);
 
-/// How long after its end a window's counts are fixed, as a part of the time until its report is due:
-/// late enough for every box's word, early enough for tries and for a change of leader.
-const SETTLE_PART: f64 = 0.35;
+/// The part of the time between a window's end and the due time of its report after which the window's counts
+/// are settled. This is late enough for the reports of all boxes, and early enough for retries and a change
+/// of leader.
+const SETTLE_FRACTION: f64 = 0.35;
 
-/// Windows before its election for which a new leader makes sure that a report went out.
-const LOOK_BACK: u64 = 3;
+/// Number of past windows that a new leader reports again, in case the previous leader did not report them.
+const RECHECKED_WINDOWS: u64 = 3;
 
-/// Does what is due while this process leads, until the task is dropped.
+/// Runs the leader's tasks until dropped. Each task does nothing while another process is the leader.
 pub(crate) async fn run(node: Arc<Node>, settings: CloudSettings) {
     let client = Client::new(node.pool.clone(), settings.addr);
     tokio::spawn(notes::keep(node.clone()));
     tokio::spawn(rollouts::run(node.clone()));
-    tokio::spawn(follow_list(node.clone(), client.clone(), settings.clone()));
+    tokio::spawn(poll_list(node.clone(), client.clone(), settings.clone()));
     tokio::spawn(report_usage(node.clone(), client.clone(), settings.clone()));
     order_engines(node, client, settings).await;
 }
 
-fn every(time: Duration) -> Interval {
-    let mut timer = tokio::time::interval(time);
+/// A timer that delays its next ticks after a missed one instead of catching up.
+fn interval(period: Duration) -> Interval {
+    let mut timer = tokio::time::interval(period);
     timer.set_missed_tick_behavior(MissedTickBehavior::Delay);
     timer
 }
 
-/// Reads the list regularly, and at once when this process begins to lead: relays that have just
-/// started can serve nobody without it.
-async fn follow_list(node: Arc<Node>, client: Client, settings: CloudSettings) {
-    let mut timer = every(settings.poll.duration());
+/// Polls the list of backend servers, and reads it at once when this process becomes the leader: relays that
+/// have just started cannot serve requests without it.
+async fn poll_list(node: Arc<Node>, client: Client, settings: CloudSettings) {
+    let mut timer = interval(settings.poll.duration());
     let mut leading = node.board.follow_leading();
     loop {
         tokio::select! {
@@ -73,44 +75,47 @@
     }
 }
 
+/// Reports usage windows as they become due.
 async fn report_usage(node: Arc<Node>, client: Client, settings: CloudSettings) {
-    let mut timer = every(LOOK);
+    let mut timer = interval(REPORT_INTERVAL);
     loop {
         timer.tick().await;
         let Some(term) = node.acting_term(&settings).await else {
             continue;
         };
-        if !report(&node, &client, &settings, term).await {
+        if !report_due_windows(&node, &client, &settings, term).await {
             tokio::time::sleep(REPORT_PAUSE).await;
         }
     }
 }
 
+/// Orders engines as they become due.
 async fn order_engines(node: Arc<Node>, client: Client, settings: CloudSettings) {
-    let mut timer = every(ORDER_TIME);
+    let mut timer = interval(ORDER_INTERVAL);
     loop {
         timer.tick().await;
         if let Some(term) = node.acting_term(&settings).await {
-            order(&node, &client, term).await;
+            place_due_orders(&node, &client, term).await;
         }
     }
 }
 
+/// Reads the list once and publishes it to the boxes.
 async fn read_list(node: &Node, client: &Client, term: Term) {
-    match client.list(CLOUD_TIME).await {
+    match client.list(PLATFORM_TIMEOUT).await {
         Ok(listing) => node.with_lead(term, |lead| {
             let now = Instant::now();
             let version = lead.list.apply_listing(term, listing, now);
-            for unread in lead.new_unreadable_entries() {
-                say_unread(node, &unread);
+            for entry in lead.new_unreadable_entries() {
+                log_unreadable_entry(node, &entry);
             }
             if let Some(version) = version {
                 let servers = lead.list.servers();
                 let (count, leaving) =
                     (servers.len(), servers.iter().filter(|it| it.leaving).count());
                 lead.loads.update_servers(lead.list.keys(), now);
-                let going = servers.iter().filter(|it| it.leaving).map(|it| &it.id);
-                lead.quarantine.record_leaving(going, now);
+                let leaving_ids = servers.iter().filter(|it| it.leaving).map(|it| &it.id);
+                lead.quarantine.record_leaving(leaving_ids, now);
                 node.listed.notify_waiters();
                 tracing::info!(
                     event = "list_read", term = %term, place = version.sequence, servers = count, leaving,
@@ -120,7 +125,8 @@
         }),
         Err(error) => {
             tracing::warn!(event = "list_unread", %error);
-            // What was read stands; what boxes said of lives since goes out all the same.
+            // The last list stays in use, but is published again with the incarnations that boxes have reported
+            // since.
             node.with_lead(term, |lead| {
                 if lead.list.is_stale() {
                     lead.list.rebuild(term, Instant::now());
@@ -130,24 +136,24 @@
     }
 }
 
-/// Counts an entry that names no server, and says what is wrong with it.
-fn say_unread(node: &Node, unread: &UnreadableEntry) {
-    node.metrics.count_unread_entry(unread.error.label());
+/// Counts an unreadable entry of the list and logs why it cannot be read.
+fn log_unreadable_entry(node: &Node, entry: &UnreadableEntry) {
+    node.metrics.count_unread_entry(entry.error.label());
     tracing::warn!(
-        event = "list_entry_unread", backend_server = unread.id.as_ref().map(BackendId::as_str),
-        addr = unread.addr.map(|addr| addr.to_string()), reason = %unread.error,
+        event = "list_entry_unread", backend_server = entry.id.as_ref().map(BackendId::as_str),
+        addr = entry.addr.map(|addr| addr.to_string()), reason = %entry.error,
     );
 }
 
-/// Orders the engines that are due.
-async fn order(node: &Node, client: &Client, term: Term) {
+/// Sends the orders that are due and records their outcomes.
+async fn place_due_orders(node: &Node, client: &Client, term: Term) {
     let duty = Duty { holder: node.settings.node.box_id.clone(), fence: term };
     let orders = node.with_lead(term, LeaderState::orders);
-    let asked = orders.into_iter().map(|order| async {
-        let answer = client.order(&duty, &order, CLOUD_TIME).await;
+    let calls = orders.into_iter().map(|order| async {
+        let answer = client.order(&duty, &order, PLATFORM_TIMEOUT).await;
         (order, answer)
     });
-    for (order, answer) in futures_util::future::join_all(asked).await {
+    for (order, answer) in futures_util::future::join_all(calls).await {
         tracing::info!(
             event = "engines_ordered", service = %order.service, count = order.count,
             data_centre = %order.data_centre, spot = order.spot, fence = %term, ?answer,
@@ -164,21 +170,26 @@
     }
 }
 
-/// Fixes and reports the windows that are due; `false` if one could not be.
-async fn report(node: &Node, client: &Client, settings: &CloudSettings, term: Term) -> bool {
+/// Settles and reports the windows that are due. Returns `false` if one failed.
+async fn report_due_windows(
+    node: &Node,
+    client: &Client,
+    settings: &CloudSettings,
+    term: Term,
+) -> bool {
     let length = settings.usage_window.duration();
-    let delay = settings.usage_due.duration().mul_f64(SETTLE_PART);
+    let delay = settings.usage_due.duration().mul_f64(SETTLE_FRACTION);
     let now = SystemTime::now();
-    // The window before the one that `delay` ago was under way has ended for long enough.
+    // The last window to report is the one before the window that was current `delay` ago.
     let current = window_at(now.checked_sub(delay).unwrap_or(now), length);
     let Some(last) = current.0.checked_sub(1) else {
         return true;
     };
     let settled = node.with_lead(term, |lead| lead.settled);
-    let first = (settled.0 + 1).max((last + 1).saturating_sub(LOOK_BACK));
+    let first = (settled.0 + 1).max((last + 1).saturating_sub(RECHECKED_WINDOWS));
     for window in (first..=last).map(Window) {
         let counts = node.with_lead(term, |lead| lead.usage_counts(window));
-        if !report_one(node, client, term, Settle { window, counts }).await {
+        if !report_window(node, client, term, Settle { window, counts }).await {
             return false;
         }
         node.with_lead(term, |lead| lead.settled = window);
@@ -186,18 +197,20 @@
     true
 }
 
-async fn report_one(node: &Node, client: &Client, term: Term, settle: Settle) -> bool {
+/// Settles the counts of a window in the group and reports them to the platform. Returns `false` if the window
+/// must be tried again.
+async fn report_window(node: &Node, client: &Client, term: Term, settle: Settle) -> bool {
     let window = settle.window;
-    let fixed = match node.propose_here(Command::Settle(settle), PROPOSE_TIMEOUT).await {
-        Some(Reply::Settle(fixed)) => fixed,
+    let settled = match node.propose_here(Command::Settle(settle), PROPOSE_TIMEOUT).await {
+        Some(Reply::Settle(settled)) => settled,
         Some(_) | None => {
             tracing::warn!(event = "usage_not_fixed", window = %window);
             return false;
         }
     };
     let duty = Duty { holder: node.settings.node.box_id.clone(), fence: term };
-    let answer = client.report_usage(&duty, &fixed, CLOUD_TIME).await;
-    let sum: u64 = fixed.counts.values().sum();
+    let answer = client.report_usage(&duty, &settled, PLATFORM_TIMEOUT).await;
+    let sum: u64 = settled.counts.values().sum();
     tracing::info!(event = "usage_reported", window = %window, requests = sum, fence = %term, ?answer);
     matches!(answer, Ok(DutyAnswer::Taken | DutyAnswer::Fenced | DutyAnswer::Unavailable))
 }
