--- a/src/control/document_source.rs
+++ b/src/control/document_source.rs
@@ -1,6 +1,8 @@
-//! What a replica gives of the published document: the difference from what a box has, in pieces.
+//! Serves the published document from a replica to boxes: the difference from the version that a box holds, in
+//! pieces.
 //!
-//! The newest document is the group's; those before it are kept in memory, as most boxes have one of them.
+//! The newest document is part of the group's state. Earlier versions are kept in memory, since most boxes hold
+//! one of them.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
@@ -14,74 +16,80 @@
 use crate::state::document::{Document, Version};
 use crate::sync::lock;
 
-/// Bytes of a piece: others on a link of 10 Mbit/s wait some 50 ms for it.
+/// Bytes of a piece. It delays other traffic on a link of 10 Mbit/s by some 50 ms.
 const PIECE_BYTES: usize = 48 << 10;
 
-/// How long a replica that does not have a document yet waits for it.
-const WAIT: Duration = Duration::from_millis(300);
+/// How long a request waits for a document that the replica does not have yet.
+const DOCUMENT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Bytes of the documents kept, the newest among them.
-const KEPT_BYTES: usize = 8 << 20;
+/// Maximum bytes of the cached documents, including the newest.
+const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
-/// Documents kept at most.
-const KEPT: usize = 16;
+/// Maximum number of cached documents.
+const MAX_DOCUMENTS: usize = 16;
 
-/// Differences kept at most: boxes are a few versions behind, and all that are as far behind need the same one.
-const MADE: usize = 8;
+/// Maximum number of cached differences. Boxes are a few versions behind, and all that hold the same version need
+/// the same difference.
+const MAX_DIFFERENCES: usize = 8;
 
-/// A packed difference from one document to a later one.
+/// A packed difference from one document to a later one, which may still be computed.
 #[derive(Clone)]
-struct Made {
+struct CachedDifference {
     former: Version,
     version: Version,
-    packed: watch::Receiver<Option<Arc<Packed>>>,
+    packed: watch::Receiver<Option<Arc<PackedDifference>>>,
 }
 
-struct Packed {
+/// The bytes of a packed difference.
+struct PackedDifference {
+    /// The digest of the later document.
     digest: Digest,
     bytes: Vec<u8>,
 }
 
-impl Made {
-    /// Has it made beside the runtime: for a megabyte that takes as long as the group's heartbeats may wait. It
-    /// goes on when those who asked have gone, as what is thrown away then is asked for again.
-    fn begin(former: &Arc<Document>, document: &Arc<Document>) -> Self {
+impl CachedDifference {
+    /// Starts the computation on a blocking thread: for a document of a megabyte it takes as long as the group's
+    /// heartbeats may be delayed. It continues when those that requested it are gone, since they will request it
+    /// again.
+    fn start(former: &Arc<Document>, document: &Arc<Document>) -> Self {
         let (sender, packed) = watch::channel(None);
-        let made = Self { former: former.version, version: document.version, packed };
+        let difference = Self { former: former.version, version: document.version, packed };
         let (former, document) = (former.clone(), document.clone());
         tokio::task::spawn_blocking(move || {
             let digest = Digest::of(&document.text);
             let bytes = Difference::between(&former.text, &document.text).pack();
-            sender.send_replace(Some(Arc::new(Packed { digest, bytes })));
+            sender.send_replace(Some(Arc::new(PackedDifference { digest, bytes })));
         });
-        made
+        difference
     }
 
-    /// Its bytes, once they are made.
-    async fn packed(&mut self) -> Option<Arc<Packed>> {
-        let made = self.packed.wait_for(Option::is_some).await.ok()?;
-        made.clone()
+    /// Waits for the computation and returns its result.
+    async fn packed(&mut self) -> Option<Arc<PackedDifference>> {
+        let packed = self.packed.wait_for(Option::is_some).await.ok()?;
+        packed.clone()
     }
 }
 
+/// The recent documents and the differences between them.
 #[derive(Default)]
-struct Kept {
+struct DocumentCache {
     /// The documents, the newest last.
     documents: VecDeque<Arc<Document>>,
-    made: VecDeque<Made>,
+    differences: VecDeque<CachedDifference>,
 }
 
-impl Kept {
-    fn note(&mut self, document: Arc<Document>) {
+impl DocumentCache {
+    /// Adds a document if it is newer than the cached ones, and evicts the oldest over the limits.
+    fn insert(&mut self, document: Arc<Document>) {
         if self.documents.back().is_some_and(|newest| newest.version >= document.version) {
             return;
         }
         self.documents.push_back(document);
-        let bytes = |kept: &VecDeque<Arc<Document>>| -> usize {
-            kept.iter().map(|document| document.text.len()).sum()
+        let bytes = |documents: &VecDeque<Arc<Document>>| -> usize {
+            documents.iter().map(|document| document.text.len()).sum()
         };
-        while self.documents.len() > KEPT
-            || (self.documents.len() > 1 && bytes(&self.documents) > KEPT_BYTES)
+        while self.documents.len() > MAX_DOCUMENTS
+            || (self.documents.len() > 1 && bytes(&self.documents) > MAX_DOCUMENT_BYTES)
         {
             self.documents.pop_front();
         }
@@ -91,35 +99,37 @@
         self.documents.iter().find(|document| document.version == version)
     }
 
-    /// The difference to a document from the one of a version, or from nothing where that is not kept.
-    fn difference(&mut self, former: Version, document: &Arc<Document>) -> Made {
+    /// The difference from version `former` to a document, or from the empty document if that version is not
+    /// cached.
+    fn difference(&mut self, former: Version, document: &Arc<Document>) -> CachedDifference {
         let former = self.find(former).cloned().unwrap_or_default();
-        let same = |made: &&Made| (made.former, made.version) == (former.version, document.version);
-        if let Some(made) = self.made.iter().find(same) {
-            return made.clone();
+        let same =
+            |it: &&CachedDifference| (it.former, it.version) == (former.version, document.version);
+        if let Some(difference) = self.differences.iter().find(same) {
+            return difference.clone();
         }
-        let made = Made::begin(&former, document);
-        self.made.push_back(made.clone());
-        if self.made.len() > MADE {
-            self.made.pop_front();
+        let difference = CachedDifference::start(&former, document);
+        self.differences.push_back(difference.clone());
+        if self.differences.len() > MAX_DIFFERENCES {
+            self.differences.pop_front();
         }
-        made
+        difference
     }
 }
 
-/// The documents that a replica gives.
+/// The documents that a replica serves.
 #[derive(Default)]
 pub(crate) struct DocumentSource {
-    kept: Mutex<Kept>,
+    cache: Mutex<DocumentCache>,
 }
 
-/// Keeps each document that this process's replica takes, until dropped.
-pub(crate) async fn follow(node: Arc<Node>) {
+/// Caches each document that this process's replica applies, until dropped.
+pub(crate) async fn run(node: Arc<Node>) {
     let mut documents = node.board.follow_document();
     loop {
         let document = documents.borrow_and_update().clone();
         if document.version.0 > 0 {
-            lock(&node.documents.kept).note(document);
+            lock(&node.documents.cache).insert(document);
         }
         if documents.changed().await.is_err() {
             return;
@@ -127,25 +137,26 @@
     }
 }
 
-/// Gives a piece of what a box lacks; nothing where this replica does not have the document yet.
-pub(crate) async fn give(node: &Node, ask: DocumentAsk) -> Option<DocumentPiece> {
+/// Returns the requested piece of the difference to the newest document, or `None` if this replica does not have
+/// the document yet.
+pub(crate) async fn read_piece(node: &Node, request: DocumentAsk) -> Option<DocumentPiece> {
     let mut documents = node.board.follow_document();
-    let wanted = documents.wait_for(|document| document.version >= ask.wanted);
-    let newest = tokio::time::timeout(WAIT, wanted).await.ok()?.ok()?.clone();
-    let mut made = {
-        let mut kept = lock(&node.documents.kept);
-        // What was begun goes on to its end, though there may be a newer document by now.
-        let begun = kept.find(ask.wanted).cloned().filter(|_| ask.offset > 0);
-        kept.difference(ask.held, &begun.unwrap_or(newest))
+    let wanted = documents.wait_for(|document| document.version >= request.wanted);
+    let newest = tokio::time::timeout(DOCUMENT_TIMEOUT, wanted).await.ok()?.ok()?.clone();
+    let mut difference = {
+        let mut cache = lock(&node.documents.cache);
+        // A transfer that has started is finished, even if there is a newer document by now.
+        let started = cache.find(request.wanted).cloned().filter(|_| request.offset > 0);
+        cache.difference(request.held, &started.unwrap_or(newest))
     };
-    let packed = made.packed().await?;
+    let packed = difference.packed().await?;
     let size = packed.bytes.len();
-    let goes_on = made.version == ask.wanted && (ask.offset as usize) < size;
-    let offset = if goes_on { ask.offset as usize } else { 0 };
+    let continues = difference.version == request.wanted && (request.offset as usize) < size;
+    let offset = if continues { request.offset as usize } else { 0 };
     let bytes = packed.bytes[offset..size.min(offset + PIECE_BYTES)].to_vec();
     Some(DocumentPiece {
-        former: made.former,
-        version: made.version,
+        former: difference.former,
+        version: difference.version,
         digest: packed.digest,
         size: size as u32,
         offset: offset as u32,
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -47,7 +47,7 @@
         tokio::spawn(boxlist::run(node.clone()));
     }
     if node.access.local().is_some() {
-        tokio::spawn(document_source::follow(node.clone()));
+        tokio::spawn(document_source::run(node.clone()));
     }
     if let (true, Some(cloud)) = (node.access.local().is_some(), node.settings.cloud.clone()) {
         tokio::spawn(duties::run(node.clone(), cloud));
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -200,7 +200,7 @@
     Packed(wanted): Packed<DocumentAsk>,
 ) -> Result<Packed<Option<DocumentPiece>>, String> {
     replica(&node)?;
-    Ok(Packed(document_source::give(&node, wanted).await))
+    Ok(Packed(document_source::read_piece(&node, wanted).await))
 }
 
 async fn gossip(node: Arc<Node>, gossip: Gossip) -> Result<News, String> {
