--- a/src/boxlist/mod.rs
+++ b/src/boxlist/mod.rs
@@ -1,9 +1,9 @@
-//! The third edge: the platform. Nothing is decided here.
+//! The client of the platform's box list. It only reads the list; decisions are made elsewhere.
 //!
-//! The box list is read over HTTP: `GET /boxes` gives an object from a box's name to its `state`
-//! (`live` or `leaving`), its `incarnation`, which grows with every life of the box, and `notice_ms`,
-//! the time left when it is leaving. A backend server has the name of its box. The list lags: that a
-//! box is listed as live proves nothing about a life that is known to be leaving.
+//! `GET /boxes` returns a JSON object that maps the name of each box to its `state` (`live` or `leaving`), its
+//! `incarnation`, which grows with each restart of the box, and `notice_ms`, the time left to a leaving box. A
+//! backend server has the name of its box. The list lags: an entry that says `live` does not contradict an earlier
+//! notice that the same incarnation is leaving.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,38 +17,38 @@
 use crate::backend::{Pool, Reuse, SendFault};
 use crate::ids::Incarnation;
 
-/// Bytes of the list at most.
-const LIST_LIMIT: usize = 4 << 20;
+/// Maximum size of the list in bytes.
+const MAX_LIST_BYTES: usize = 4 << 20;
 
 /// A box's state in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListedState {
-    /// It runs.
+    /// The box is running.
     Live,
-    /// It is taken back.
+    /// The platform is about to reclaim the box.
     Leaving,
 }
 
-/// One line of the list.
+/// One entry of the list.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Listed {
-    /// The state.
+pub struct ListedBox {
+    /// The state of the box.
     pub state: ListedState,
-    /// Which life of the box.
+    /// The incarnation that the state applies to.
     pub incarnation: Incarnation,
-    /// Milliseconds until the box goes, when it is leaving.
+    /// Milliseconds until a leaving box is stopped; 0 for a running box.
     #[serde(default)]
     pub notice_ms: u64,
 }
 
-/// Why there is no list.
+/// An error while reading the box list.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum ListFault {
-    /// The platform did not answer.
-    #[error("the platform did not answer: {0}")]
-    Silent(#[from] SendFault),
-    /// It answered with something else.
+pub enum ListError {
+    /// The exchange with the platform failed.
+    #[error("the exchange with the platform failed: {0}")]
+    Exchange(#[from] SendFault),
+    /// The answer is not a valid list.
     #[error("the box list cannot be read: {0}")]
     Unreadable(String),
 }
@@ -56,21 +56,22 @@
 /// Reads the box list.
 ///
 /// # Errors
-/// When the platform does not answer within `limit`, or not with a list.
+/// [`ListError::Exchange`] if the head or the body of the answer does not arrive within `timeout` each or the
+/// body is too large, [`ListError::Unreadable`] if the answer is not a list.
 pub async fn list(
     pool: &Pool,
     addr: SocketAddr,
-    limit: Duration,
-) -> Result<BTreeMap<String, Listed>, ListFault> {
+    timeout: Duration,
+) -> Result<BTreeMap<String, ListedBox>, ListError> {
     let request = Request::get("/boxes")
         .header("host", addr.to_string())
         .body(Full::new(Bytes::new()))
-        .map_err(|error| ListFault::Unreadable(error.to_string()))?;
-    let exchange = pool.send(addr, request, limit, Reuse::Any).await?;
+        .map_err(|error| ListError::Unreadable(error.to_string()))?;
+    let exchange = pool.send(addr, request, timeout, Reuse::Any).await?;
     let status = exchange.status;
-    let body = exchange.read_whole(LIST_LIMIT, limit).await?;
+    let body = exchange.read_whole(MAX_LIST_BYTES, timeout).await?;
     if !status.is_success() {
-        return Err(ListFault::Unreadable(format!("status {status}")));
+        return Err(ListError::Unreadable(format!("status {status}")));
     }
-    serde_json::from_slice(&body).map_err(|error| ListFault::Unreadable(error.to_string()))
+    serde_json::from_slice(&body).map_err(|error| ListError::Unreadable(error.to_string()))
 }
--- a/src/control/boxlist.rs
+++ b/src/control/boxlist.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::boxlist::{self, Listed, ListedState};
+use crate::boxlist::{self, ListedBox, ListedState};
 use crate::member::spread::word;
 use crate::node::Node;
 
@@ -29,7 +29,7 @@
     }
 }
 
-fn take(node: &Arc<Node>, name: &str, listed: &Listed) {
+fn take(node: &Arc<Node>, name: &str, listed: &ListedBox) {
     let left = match listed.state {
         ListedState::Live => None,
         ListedState::Leaving => Some(Duration::from_millis(listed.notice_ms)),
--- a/src/control/rollouts.rs
+++ b/src/control/rollouts.rs
@@ -7,7 +7,7 @@
 use tokio::time::MissedTickBehavior;
 
 use super::duties::PROPOSE_TIMEOUT;
-use super::publish::{self, is_complete, no_group, other_answer, unacknowledged};
+use super::publish::{self, is_complete, no_group, unacknowledged, unexpected_reply};
 use crate::decide::exposure::ExposureLimit;
 use crate::decide::releases::{ReleaseUpdate, TrialGrant, TrialReport};
 use crate::decide::rollout::{RolloutStatus, RolloutTracker, next_step};
@@ -68,7 +68,7 @@
                 Err(Failure::new(Kind::InProgress, text))
             }
         },
-        Ok(_) => Err(other_answer()),
+        Ok(_) => Err(unexpected_reply()),
         Err(error) => Err(unacknowledged(&error.to_string())),
     }
 }
@@ -93,7 +93,7 @@
     let step = rollout.step(Phase::RolledBack, rollout.exposed);
     match node.access.propose(Command::StepRollout(step), ORDER_TIMEOUT).await {
         Ok(Reply::StepRollout(Some(rollout))) => Ok(*rollout),
-        Ok(_) => Err(other_answer()),
+        Ok(_) => Err(unexpected_reply()),
         Err(error) => Err(unacknowledged(&error.to_string())),
     }
 }
@@ -101,7 +101,7 @@
 async fn read(node: &Node) -> Result<Arc<RolloutBook>, Failure> {
     match node.access.propose(Command::ReadRollouts, READ_TIMEOUT).await {
         Ok(Reply::Rollouts(book)) => Ok(book),
-        Ok(_) => Err(other_answer()),
+        Ok(_) => Err(unexpected_reply()),
         Err(error) => Err(no_group(&error.to_string())),
     }
 }
