--- a/src/relay/ends.rs
+++ b/src/relay/ends.rs
@@ -31,7 +31,7 @@
 /// How many servers are probed at the same time. If more end at once, a request is not the cause.
 const MAX_WATCHED_SERVERS: usize = 64;
 
-/// How many requests are recorded for one server: more than one box runs there at a time.
+/// How many requests are recorded for one server. A single box has fewer in flight there.
 const MAX_REQUESTS_PER_SERVER: usize = 64;
 
 /// A server with broken exchanges, until the probes have a result.
