--- a/src/control/document_fetch.rs
+++ b/src/control/document_fetch.rs
@@ -17,7 +17,7 @@
 use crate::peer::Peers;
 use crate::peer::method::{self, DocumentAsk, DocumentPiece};
 use crate::peer::packed::Packed;
-use crate::state::difference::{Difference, TEXT_LIMIT, Unfit};
+use crate::state::difference::{Difference, MAX_TEXT_LEN, DifferenceError};
 use crate::state::document::{Document, Version};
 
 /// Timeout for a piece: thirty times its transfer time over a link of 10 Mbit/s.
@@ -51,7 +51,7 @@
         if !is_same {
             *self = Self::default();
         }
-        if piece.offset as usize == self.bytes.len() && piece.size as usize <= TEXT_LIMIT {
+        if piece.offset as usize == self.bytes.len() && piece.size as usize <= MAX_TEXT_LEN {
             self.bytes.extend_from_slice(&piece.bytes);
             self.head.get_or_insert(DocumentPiece { bytes: Vec::new(), ..piece });
         }
@@ -63,7 +63,7 @@
     }
 
     /// Applies the difference to the held document.
-    fn apply(&self, head: &DocumentPiece, held: &Document) -> Result<Document, Unfit> {
+    fn apply(&self, head: &DocumentPiece, held: &Document) -> Result<Document, DifferenceError> {
         let former = if head.former == held.version { &held.text } else { "" };
         let text = Difference::unpack(&self.bytes)?.apply(former, head.digest)?;
         Ok(Document { version: head.version, text: text.into() })
--- a/tests/difference.rs
+++ b/tests/difference.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code, reason = "each test takes what it needs")]
 mod platform;
 
-use emberturn::state::difference::{Difference, Digest, Unfit};
+use emberturn::state::difference::{Difference, Digest, DifferenceError};
 use platform::{document, route};
 use proptest::prelude::*;
 use serde_json::Value;
@@ -59,9 +59,9 @@
     let difference = Difference::between(&former, &next);
     let digest = Digest::of(&next);
     assert_eq!(difference.apply(&former, digest), Ok(next));
-    assert_eq!(difference.apply(&former.replace('a', "c"), digest), Err(Unfit::OtherText));
-    assert_eq!(difference.apply("a", digest), Err(Unfit::OutOfBounds));
-    assert_eq!(Difference::unpack(&[7; 9]), Err(Unfit::Unreadable));
+    assert_eq!(difference.apply(&former.replace('a', "c"), digest), Err(DifferenceError::DigestMismatch));
+    assert_eq!(difference.apply("a", digest), Err(DifferenceError::OutOfBounds));
+    assert_eq!(Difference::unpack(&[7; 9]), Err(DifferenceError::Unreadable));
 }
 
 proptest! {
