--- a/src/state/change_file.rs
+++ b/src/state/change_file.rs
@@ -105,12 +105,12 @@
 }
 
 fn read_limits(section: &mut Section) -> Limits {
-    let base = Limits::default();
+    let defaults = Limits::default();
     Limits {
-        entry_boxes: section.value("entry_boxes", base.entry_boxes),
-        retry_percent: section.value("retry_percent", base.retry_percent),
-        ledger_age: section.value("ledger_age", base.ledger_age),
-        work_age: section.value("work_age", base.work_age),
+        entry_boxes: section.value("entry_boxes", defaults.entry_boxes),
+        retry_percent: section.value("retry_percent", defaults.retry_percent),
+        ledger_age: section.value("ledger_age", defaults.ledger_age),
+        work_age: section.value("work_age", defaults.work_age),
     }
 }
 
--- a/src/state/config.rs
+++ b/src/state/config.rs
@@ -244,23 +244,23 @@
 impl Configuration {
     /// Applies a change whole, or not at all.
     pub fn apply(&mut self, change: &Change) -> ChangeReply {
-        if let Some(first) = self.history.iter().find(|held| held.change.id == change.id) {
+        if let Some(first) = self.history.iter().find(|accepted| accepted.change.id == change.id) {
             return ChangeReply::Accepted(first.revision);
         }
         if let Some(expect) = change.expect.filter(|expect| *expect != self.revision) {
-            let winner = self.made_by(expect.next());
+            let winner = self.change_id_at(expect.next());
             return ChangeReply::Conflict { current: self.revision, winner };
         }
-        let mut next = self.parts();
+        let mut next = self.without_history();
         for edit in &change.edits {
-            next.edit(edit.clone());
+            next.apply_edit(edit.clone());
         }
         if let Err(fault) = next.check() {
             return ChangeReply::Invalid(fault);
         }
         let history = std::mem::take(&mut self.history);
         *self = Self { revision: self.revision.next(), history, ..next };
-        self.remember(change);
+        self.push_history(change);
         ChangeReply::Accepted(self.revision)
     }
 
@@ -275,8 +275,8 @@
     }
 
     /// The change that made `revision`, where still held.
-    pub fn made_by(&self, revision: Revision) -> Option<ChangeId> {
-        let found = self.history.iter().find(|held| held.revision == revision)?;
+    pub fn change_id_at(&self, revision: Revision) -> Option<ChangeId> {
+        let found = self.history.iter().find(|accepted| accepted.revision == revision)?;
         Some(found.change.id.clone())
     }
 
@@ -331,7 +331,7 @@
         Ok(())
     }
 
-    fn parts(&self) -> Self {
+    fn without_history(&self) -> Self {
         Self {
             revision: self.revision,
             teams: self.teams.clone(),
@@ -343,7 +343,7 @@
         }
     }
 
-    fn edit(&mut self, edit: Edit) {
+    fn apply_edit(&mut self, edit: Edit) {
         match edit {
             Edit::PutTeam(name, team) => drop(self.teams.insert(name, team)),
             Edit::RemoveTeam(name) => drop(self.teams.remove(&name)),
@@ -357,7 +357,7 @@
         }
     }
 
-    fn remember(&mut self, change: &Change) {
+    fn push_history(&mut self, change: &Change) {
         let accepted = Accepted { revision: self.revision, change: change.clone() };
         self.history.push_back(Arc::new(accepted));
         while self.history.len() > HISTORY_LIMIT {
