--- a/src/group/driver.rs
+++ b/src/group/driver.rs
@@ -319,7 +319,7 @@
     fn note_work(&mut self) {
         if self.looked.elapsed() >= LOOK_TIME {
             self.looked = Instant::now();
-            self.board.note_work(self.machine.has_waiting(UnixMillis::now().0));
+            self.board.note_work(self.machine.has_claimable_work(UnixMillis::now().0));
         }
     }
 
--- a/src/state/ledger.rs
+++ b/src/state/ledger.rs
@@ -11,10 +11,10 @@
 use crate::units::Millis;
 
 /// Entries the ledger holds at most; one more is refused, which is an honest "not run".
-pub const ENTRY_LIMIT: usize = 200_000;
+pub const MAX_ENTRIES: usize = 200_000;
 
 /// Bytes of recorded answers the ledger holds at most; a larger answer is recorded without a body.
-pub const ANSWER_BYTES: usize = 64 << 20;
+pub const MAX_ANSWER_BYTES: usize = 64 << 20;
 
 /// Whose request it is. Keys of different teams never meet.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -130,7 +130,8 @@
     owner: Owner,
     backend: BackendId,
     progress: Progress,
-    at: u64,
+    #[serde(rename = "at")]
+    changed_at: u64,
 }
 
 /// The ledger's entries.
@@ -148,7 +149,7 @@
             if entry.digest != begin.digest {
                 return BeginReply::Conflict;
             }
-            let held = match &entry.progress {
+            let existing = match &entry.progress {
                 Progress::Running if entry.attempt == begin.attempt => Some(BeginReply::Go),
                 Progress::Running => Some(BeginReply::Running {
                     owner: entry.owner.clone(),
@@ -163,10 +164,10 @@
                 }
                 Progress::Ended(Outcome::NotRun) => None,
             };
-            if let Some(reply) = held {
+            if let Some(reply) = existing {
                 return reply;
             }
-        } else if self.entries.len() >= ENTRY_LIMIT {
+        } else if self.entries.len() >= MAX_ENTRIES {
             return BeginReply::Full;
         }
         let entry = Entry {
@@ -175,7 +176,7 @@
             owner: begin.owner.clone(),
             backend: begin.backend.clone(),
             progress: Progress::Running,
-            at,
+            changed_at: at,
         };
         self.entries.insert(begin.key.clone(), entry);
         BeginReply::Go
@@ -190,17 +191,17 @@
         if entry.progress != Progress::Running {
             return EndReply::Recorded;
         }
-        let outcome = fit(end.outcome.clone(), ANSWER_BYTES.saturating_sub(self.bytes));
+        let outcome = drop_oversized_body(end.outcome.clone(), MAX_ANSWER_BYTES.saturating_sub(self.bytes));
         self.bytes += body_bytes(&outcome);
         entry.progress = Progress::Ended(outcome);
-        entry.at = at;
+        entry.changed_at = at;
         EndReply::Recorded
     }
 
     /// Drops entries older than `age`.
     pub fn expire(&mut self, at: u64, age: Millis) -> usize {
         let before = self.entries.len();
-        self.entries.retain(|_, entry| !is_old(at, entry.at, age));
+        self.entries.retain(|_, entry| !is_older_than(at, entry.changed_at, age));
         let bytes = |entry: &Entry| match &entry.progress {
             Progress::Ended(outcome) => body_bytes(outcome),
             Progress::Running => 0,
@@ -211,7 +212,7 @@
 
     /// Whether [`Ledger::expire`] would drop anything.
     pub fn has_expired(&self, at: u64, age: Millis) -> bool {
-        self.entries.values().any(|entry| is_old(at, entry.at, age))
+        self.entries.values().any(|entry| is_older_than(at, entry.changed_at, age))
     }
 
     /// How many entries are held.
@@ -225,7 +226,7 @@
     }
 }
 
-pub(crate) fn is_old(now: u64, at: u64, age: Millis) -> bool {
+pub(crate) fn is_older_than(now: u64, at: u64, age: Millis) -> bool {
     now.saturating_sub(at) > age.0
 }
 
@@ -236,9 +237,9 @@
     }
 }
 
-fn fit(outcome: Outcome, room: usize) -> Outcome {
+fn drop_oversized_body(outcome: Outcome, available: usize) -> Outcome {
     match outcome {
-        Outcome::Done(answer) if answer.body.as_ref().is_some_and(|body| body.len() > room) => {
+        Outcome::Done(answer) if answer.body.as_ref().is_some_and(|body| body.len() > available) => {
             Outcome::Done(RecordedAnswer { body: None, ..answer })
         }
         other => other,
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -243,7 +243,7 @@
     }
 
     /// Whether kept work waits to be claimed at this time.
-    pub fn has_waiting(&self, at: u64) -> bool {
-        self.work.has_waiting(at)
+    pub fn has_claimable_work(&self, at: u64) -> bool {
+        self.work.has_claimable_work(at)
     }
 }
--- a/src/state/usage.rs
+++ b/src/state/usage.rs
@@ -13,7 +13,7 @@
 pub type Counts = BTreeMap<Window, BTreeMap<TeamName, u64>>;
 
 /// Windows remembered. A window is reported within a few windows of its end.
-const KEEP_COUNT: usize = 64;
+const MAX_WINDOWS: usize = 64;
 
 /// A window's counts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,7 +35,7 @@
     pub fn settle(&mut self, settle: &Settle) -> Settle {
         let counts = self.settled.entry(settle.window).or_insert_with(|| settle.counts.clone());
         let settled = Settle { window: settle.window, counts: counts.clone() };
-        while self.settled.len() > KEEP_COUNT {
+        while self.settled.len() > MAX_WINDOWS {
             self.settled.pop_first();
         }
         settled
--- a/src/state/work.rs
+++ b/src/state/work.rs
@@ -7,18 +7,18 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::ledger::{Owner, RecordedAnswer, is_old};
+use super::ledger::{Owner, RecordedAnswer, is_older_than};
 use crate::ids::{Fence, NameError, RequestKey, TeamName};
 use crate::units::Millis;
 
 /// Pieces of work held at most.
-pub const WORK_LIMIT: usize = 20_000;
+pub const MAX_ITEMS: usize = 20_000;
 
 /// Bytes of bodies and answers held at most.
-pub const WORK_BYTES: usize = 64 << 20;
+pub const MAX_TOTAL_BYTES: usize = 64 << 20;
 
 /// How long an owner may run a piece of work before another may take it over.
-pub const LEASE: Millis = Millis(10_000);
+pub const LEASE_TIME: Millis = Millis(10_000);
 
 /// A piece of kept work.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -149,7 +149,8 @@
     request: KeptRequest,
     stage: Stage,
     fence: Fence,
-    at: u64,
+    #[serde(rename = "at")]
+    changed_at: u64,
 }
 
 impl Item {
@@ -161,7 +162,7 @@
         self.request.body.len() + answer
     }
 
-    fn is_free(&self, now: u64) -> bool {
+    fn is_claimable(&self, now: u64) -> bool {
         match &self.stage {
             Stage::Waiting => true,
             Stage::Owned { until, .. } => *until < now,
@@ -187,11 +188,11 @@
             return if same { KeepReply::Kept(id) } else { KeepReply::Conflict };
         }
         let size = keep.request.body.len();
-        if self.items.len() >= WORK_LIMIT || self.bytes + size > WORK_BYTES {
+        if self.items.len() >= MAX_ITEMS || self.bytes + size > MAX_TOTAL_BYTES {
             return KeepReply::Full;
         }
         let request = keep.request.clone();
-        let item = Item { request, stage: Stage::Waiting, fence: Fence(0), at };
+        let item = Item { request, stage: Stage::Waiting, fence: Fence(0), changed_at: at };
         self.bytes += item.bytes();
         self.items.insert(id.clone(), item);
         KeepReply::Kept(id)
@@ -199,7 +200,7 @@
 
     /// Renews the owner's leases and hands out the oldest free piece.
     pub fn claim(&mut self, at: u64, claim: &Claim) -> ClaimReply {
-        let until = at + LEASE.0;
+        let until = at + LEASE_TIME.0;
         let mut lost = Vec::new();
         for (id, fence) in &claim.held {
             let item = self.items.get_mut(id).filter(|item| item.fence == *fence);
@@ -215,8 +216,8 @@
     }
 
     fn grant(&mut self, at: u64, until: u64, owner: &Owner) -> Option<Granted> {
-        let free = self.items.iter_mut().filter(|(_, item)| item.is_free(at));
-        let (id, item) = free.min_by_key(|(_, item)| item.at)?;
+        let claimable = self.items.iter_mut().filter(|(_, item)| item.is_claimable(at));
+        let (id, item) = claimable.min_by_key(|(_, item)| item.changed_at)?;
         item.fence = item.fence.next();
         item.stage = Stage::Owned { owner: owner.clone(), until };
         let request = item.request.clone();
@@ -234,7 +235,7 @@
         }
         self.bytes -= item.bytes();
         item.stage = Stage::Finished(finish.answer.clone());
-        item.at = at;
+        item.changed_at = at;
         self.bytes += item.bytes();
         true
     }
@@ -252,23 +253,23 @@
     /// Drops finished work older than `age`. Unfinished work stays.
     pub fn expire(&mut self, at: u64, age: Millis) -> usize {
         let before = self.items.len();
-        self.items.retain(|_, item| !Self::droppable(item, at, age));
+        self.items.retain(|_, item| !Self::is_expired(item, at, age));
         self.bytes = self.items.values().map(Item::bytes).sum();
         before - self.items.len()
     }
 
     /// Whether [`WorkStore::expire`] would drop anything.
     pub fn has_expired(&self, at: u64, age: Millis) -> bool {
-        self.items.values().any(|item| Self::droppable(item, at, age))
+        self.items.values().any(|item| Self::is_expired(item, at, age))
     }
 
     /// Whether a piece is free to be claimed.
-    pub fn has_waiting(&self, at: u64) -> bool {
-        self.items.values().any(|item| item.is_free(at))
+    pub fn has_claimable_work(&self, at: u64) -> bool {
+        self.items.values().any(|item| item.is_claimable(at))
     }
 
-    fn droppable(item: &Item, at: u64, age: Millis) -> bool {
-        matches!(item.stage, Stage::Finished(_)) && is_old(at, item.at, age)
+    fn is_expired(item: &Item, at: u64, age: Millis) -> bool {
+        matches!(item.stage, Stage::Finished(_)) && is_older_than(at, item.changed_at, age)
     }
 }
 
