--- a/src/control/rollouts.rs
+++ b/src/control/rollouts.rs
@@ -119,7 +119,7 @@
     fn update(&mut self, book: Arc<RolloutBook>) {
         let is_running = |service: &ServiceName, tracker: &mut RolloutTracker| {
             let rollout = book.rollouts.get(service);
-            rollout.is_some_and(|it| it.ordered == tracker.ordered() && !it.phase.is_over())
+            rollout.is_some_and(|it| it.ordered == tracker.ordered() && !it.phase.is_finished())
         };
         self.trackers.retain(is_running);
         self.book = Some(book);
--- a/src/state/rollout.rs
+++ b/src/state/rollout.rs
@@ -14,7 +14,7 @@
 
 /// The longest time that an order may give a roll-out: a day. Beyond it, somebody took milliseconds
 /// for seconds.
-pub const LONGEST: Millis = Millis(24 * 3_600_000);
+pub const MAX_DURATION: Millis = Millis(24 * 3_600_000);
 
 /// An operator's order: a service's traffic is to go to a release within some time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -35,13 +35,13 @@
     /// # Errors
     /// What is wrong with it.
     pub fn check(&self) -> Result<(), String> {
-        if self.time.0 == 0 || self.time > LONGEST {
-            return Err(format!("a roll-out takes from 1 ms to {LONGEST}, not {}", self.time));
+        if self.time.0 == 0 || self.time > MAX_DURATION {
+            return Err(format!("a roll-out takes from 1 ms to {MAX_DURATION}, not {}", self.time));
         }
         Ok(())
     }
 
-    fn is_again(&self, other: &Self) -> bool {
+    fn is_same_order(&self, other: &Self) -> bool {
         (&self.service, &self.release, self.time) == (&other.service, &other.release, other.time)
     }
 }
@@ -62,15 +62,15 @@
 
 impl Phase {
     /// Whether nothing follows.
-    pub fn is_over(self) -> bool {
+    pub fn is_finished(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
 
     /// Whether a roll-out may go from here to `next`.
-    fn leads_to(self, next: Self) -> bool {
+    fn can_move_to(self, next: Self) -> bool {
         match self {
             Self::Trial => matches!(next, Self::Shift | Self::RolledBack),
-            Self::Shift => next.is_over(),
+            Self::Shift => next.is_finished(),
             Self::Completed | Self::RolledBack => false,
         }
     }
@@ -145,19 +145,19 @@
 impl RolloutBook {
     /// The roll-outs under way.
     pub fn running(&self) -> impl Iterator<Item = &Rollout> {
-        self.rollouts.values().filter(|rollout| !rollout.phase.is_over())
+        self.rollouts.values().filter(|rollout| !rollout.phase.is_finished())
     }
 
     /// Takes an order at `at`, in milliseconds since the Unix epoch. An order that was taken before is
     /// taken again and changes nothing.
     pub fn order(&mut self, at: u64, order: &RolloutOrder) -> OrderReply {
         if let Some(held) = self.rollouts.get(&order.service) {
-            let is_again = held.order.is_again(order);
+            let is_same_order = held.order.is_same_order(order);
             let is_recent = at.saturating_sub(held.ordered) <= order.repeats.0;
             match held.phase {
-                Phase::Trial | Phase::Shift if is_again => return OrderReply::Taken(held.clone()),
+                Phase::Trial | Phase::Shift if is_same_order => return OrderReply::Taken(held.clone()),
                 Phase::Trial | Phase::Shift => return OrderReply::Conflict(held.clone()),
-                Phase::Completed | Phase::RolledBack if is_again && is_recent => {
+                Phase::Completed | Phase::RolledBack if is_same_order && is_recent => {
                     return OrderReply::Taken(held.clone());
                 }
                 Phase::Completed | Phase::RolledBack => {}
@@ -174,9 +174,9 @@
     /// Takes a step of a leader; the roll-out as it stands then.
     pub fn step(&mut self, step: &RolloutStep) -> Option<Rollout> {
         let held = self.rollouts.get_mut(&step.service)?;
-        if held.ordered == step.ordered && !held.phase.is_over() {
+        if held.ordered == step.ordered && !held.phase.is_finished() {
             held.exposed = held.exposed.max(step.exposed);
-            if held.phase.leads_to(step.phase) {
+            if held.phase.can_move_to(step.phase) {
                 held.phase = step.phase;
             }
             if held.phase == Phase::Completed {
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -115,7 +115,7 @@
             }
             let next = book.step(&step).unwrap();
             prop_assert!(next.phase >= held.phase && next.exposed >= held.exposed);
-            prop_assert!(!held.phase.is_over() || next == held);
+            prop_assert!(!held.phase.is_finished() || next == held);
             prop_assert!(!is_late || next == held);
             prop_assert!(held.phase != Phase::Trial || next.phase != Phase::Completed);
             let in_force = if next.phase == Phase::Completed { "v2" } else { "v1" };
@@ -427,7 +427,7 @@
                 let permits = reports
                     .get(&service())
                     .map_or(0, |report| tracker.record_report(now, key, report, &rollout, random));
-                let trial = (!rollout.phase.is_over()).then(|| TrialGrant {
+                let trial = (!rollout.phase.is_finished()).then(|| TrialGrant {
                     ordered: rollout.ordered,
                     release: release("v2"),
                     all_traffic: rollout.phase == Phase::Shift,
