--- a/src/blackboard/mod.rs
+++ b/src/blackboard/mod.rs
@@ -30,8 +30,8 @@
 use crate::member::table::Boxes;
 use crate::state::config::Configuration;
 use crate::state::document::{Document, Version};
-use crate::state::quarantine::QuarantineBook;
-use crate::state::rollout::RolloutBook;
+use crate::state::quarantine::QuarantinedRequests;
+use crate::state::rollout::RolloutState;
 use crate::telemetry::HopLog;
 use fleet::Fleet;
 
@@ -98,8 +98,8 @@
     own: BoxId,
     in_force: watch::Sender<Arc<InForce>>,
     document: watch::Sender<Arc<Document>>,
-    rollouts: watch::Sender<Arc<RolloutBook>>,
-    quarantine: ArcSwap<QuarantineBook>,
+    rollouts: watch::Sender<Arc<RolloutState>>,
+    quarantine: ArcSwap<QuarantinedRequests>,
     newest: watch::Sender<Newest>,
     fresh: watch::Sender<Option<Instant>>,
     phase: watch::Sender<Phase>,
@@ -182,17 +182,17 @@
     }
 
     /// The releases in force and the roll-outs, as this process's replica has them.
-    pub fn rollouts(&self) -> Arc<RolloutBook> {
+    pub fn rollouts(&self) -> Arc<RolloutState> {
         self.rollouts.borrow().clone()
     }
 
     /// Follows the releases in force and the roll-outs.
-    pub fn follow_rollouts(&self) -> watch::Receiver<Arc<RolloutBook>> {
+    pub fn follow_rollouts(&self) -> watch::Receiver<Arc<RolloutState>> {
         self.rollouts.subscribe()
     }
 
     /// Takes the releases in force and the roll-outs.
-    pub fn put_rollouts(&self, rollouts: Arc<RolloutBook>) {
+    pub fn put_rollouts(&self, rollouts: Arc<RolloutState>) {
         self.rollouts.send_if_modified(|held| {
             let is_new = !Arc::ptr_eq(held, &rollouts);
             *held = rollouts;
@@ -201,12 +201,12 @@
     }
 
     /// The requests that are kept from all servers, as this process's replica has them.
-    pub fn quarantine(&self) -> Arc<QuarantineBook> {
+    pub fn quarantine(&self) -> Arc<QuarantinedRequests> {
         self.quarantine.load_full()
     }
 
     /// Takes the requests that are kept from all servers.
-    pub fn put_quarantine(&self, quarantine: Arc<QuarantineBook>) {
+    pub fn put_quarantine(&self, quarantine: Arc<QuarantinedRequests>) {
         self.quarantine.store(quarantine);
     }
 
--- a/src/control/quarantine.rs
+++ b/src/control/quarantine.rs
@@ -7,7 +7,7 @@
 use crate::error::{Failure, Kind};
 use crate::ids::Fingerprint;
 use crate::node::Node;
-use crate::state::quarantine::{QuarantineBook, QuarantineChange};
+use crate::state::quarantine::{QuarantinedRequests, QuarantineChange};
 use crate::state::{Command, Reply};
 
 /// Timeout for a command to the group.
@@ -18,7 +18,7 @@
 ///
 /// # Errors
 /// [`Kind::NoGroup`] if the group does not answer.
-pub async fn show(node: &Node) -> Result<QuarantineBook, Failure> {
+pub async fn show(node: &Node) -> Result<QuarantinedRequests, Failure> {
     change(node, QuarantineChange::default(), no_group).await
 }
 
@@ -27,7 +27,7 @@
 /// # Errors
 /// As for [`show`]; [`Kind::NotFound`] if the request is not quarantined, [`Kind::Unacknowledged`] if the group
 /// does not confirm the change.
-pub async fn lift(node: &Node, request: Fingerprint) -> Result<QuarantineBook, Failure> {
+pub async fn lift(node: &Node, request: Fingerprint) -> Result<QuarantinedRequests, Failure> {
     if !show(node).await?.contains_key(&request) {
         return Err(Failure::new(Kind::NotFound, format!("{request} is not quarantined")));
     }
@@ -42,7 +42,7 @@
     node: &Node,
     change: QuarantineChange,
     unanswered: fn(&str) -> Failure,
-) -> Result<QuarantineBook, Failure> {
+) -> Result<QuarantinedRequests, Failure> {
     match node.access.propose(Command::ChangeQuarantine(change), GROUP_TIMEOUT).await {
         Ok(Reply::Quarantine(book)) => Ok(book.as_ref().clone()),
         Ok(_) => Err(unexpected_reply()),
--- a/src/control/rollouts.rs
+++ b/src/control/rollouts.rs
@@ -15,7 +15,7 @@
 use crate::ids::{BoxId, Incarnation, Release, ServiceName, Term};
 use crate::node::Node;
 use crate::settings::RolloutSettings;
-use crate::state::rollout::{OrderReply, Phase, Rollout, RolloutBook, RolloutOrder, RolloutStep};
+use crate::state::rollout::{OrderReply, Phase, Rollout, RolloutState, RolloutOrder, RolloutStep};
 use crate::state::{Command, Reply};
 use crate::units::UnixMillis;
 
@@ -98,7 +98,7 @@
     }
 }
 
-async fn read(node: &Node) -> Result<Arc<RolloutBook>, Failure> {
+async fn read(node: &Node) -> Result<Arc<RolloutState>, Failure> {
     match node.access.propose(Command::ReadRollouts, READ_TIMEOUT).await {
         Ok(Reply::Rollouts(book)) => Ok(book),
         Ok(_) => Err(unexpected_reply()),
@@ -110,13 +110,13 @@
 #[derive(Default)]
 pub(super) struct LeaderRollouts {
     /// The state stored by the group; `None` until this leader has read it in its term.
-    book: Option<Arc<RolloutBook>>,
+    book: Option<Arc<RolloutState>>,
     trackers: BTreeMap<ServiceName, RolloutTracker>,
 }
 
 impl LeaderRollouts {
     /// Replaces the stored state and drops the trackers of rollouts that have ended.
-    fn update(&mut self, book: Arc<RolloutBook>) {
+    fn update(&mut self, book: Arc<RolloutState>) {
         let is_running = |service: &ServiceName, tracker: &mut RolloutTracker| {
             let rollout = book.rollouts.get(service);
             rollout.is_some_and(|it| it.ordered == tracker.ordered() && !it.phase.is_finished())
--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -15,7 +15,7 @@
 
 use super::ends::{CRASHES_TO_QUARANTINE, CrashReport, CrashTracker};
 use crate::ids::{BackendId, Fingerprint};
-use crate::state::quarantine::{QuarantineBook, QuarantineChange};
+use crate::state::quarantine::{QuarantinedRequests, QuarantineChange};
 use crate::units::{Millis, UnixMillis};
 
 /// How long a request is quarantined. Software that crashes under a request is seldom fixed sooner,
@@ -261,7 +261,7 @@
 #[derive(Debug, Default)]
 pub struct FleetQuarantine {
     crashes: CrashTracker,
-    quarantined: QuarantineBook,
+    quarantined: QuarantinedRequests,
     /// Poison requests by the crashes that this leader knows of.
     poison: BTreeSet<Fingerprint>,
     /// Whether there were changes since the last evaluation, and when that was.
@@ -270,7 +270,7 @@
     /// Servers that were shown as leaving, and when.
     leaving: BTreeMap<BackendId, Instant>,
     /// The quarantine as replicated by the group; `None` until it is known.
-    replicated: Option<Arc<QuarantineBook>>,
+    replicated: Option<Arc<QuarantinedRequests>>,
     /// What was quarantined at the last evaluation.
     last_evaluated: BTreeSet<Fingerprint>,
     /// The version of the last update for boxes, and the requests in it.
@@ -285,7 +285,7 @@
 
     /// Applies the replicated quarantine. Requests that it no longer contains were lifted by an
     /// operator or a former leader.
-    pub fn apply_replicated(&mut self, replicated: Arc<QuarantineBook>) {
+    pub fn apply_replicated(&mut self, replicated: Arc<QuarantinedRequests>) {
         if self.replicated.as_ref().is_some_and(|known| Arc::ptr_eq(known, &replicated)) {
             return;
         }
--- a/src/peer/method.rs
+++ b/src/peer/method.rs
@@ -19,7 +19,7 @@
 use crate::state::config::{Accepted, Configuration};
 use crate::state::difference::Digest;
 use crate::state::document::Version;
-use crate::state::quarantine::QuarantineBook;
+use crate::state::quarantine::QuarantinedRequests;
 use crate::state::rollout::Rollout;
 use crate::units::Millis;
 
@@ -110,7 +110,7 @@
 }
 
 /// All that are held, or why there is no answer.
-pub type QuarantineAnswer = Result<QuarantineBook, (Kind, String)>;
+pub type QuarantineAnswer = Result<QuarantinedRequests, (Kind, String)>;
 
 /// Asks for the configuration's changes.
 #[derive(Debug, Clone, Serialize, Deserialize)]
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -24,9 +24,9 @@
 use document::{Document, PackedDocument, Version};
 use ledger::{Begin, BeginReply, End, EndReply, Ledger};
 use notes::{LowTeams, Models, Notes, Spells};
-use quarantine::{QuarantineBook, QuarantineChange};
-use rollout::{OrderReply, Rollout, RolloutBook, RolloutOrder, RolloutStep};
-use usage::{Settle, UsageBook};
+use quarantine::{QuarantinedRequests, QuarantineChange};
+use rollout::{OrderReply, Rollout, RolloutState, RolloutOrder, RolloutStep};
+use usage::{Settle, UsageWindows};
 use work::{Claim, ClaimReply, Finish, Keep, KeepReply, WorkId, WorkStore, WorkView};
 
 use crate::ids::{Release, ServiceName};
@@ -105,13 +105,13 @@
     /// [`Command::ReadNotes`].
     Notes(Notes),
     /// Answers [`Command::ChangeQuarantine`]: all that are held.
-    Quarantine(Arc<QuarantineBook>),
+    Quarantine(Arc<QuarantinedRequests>),
     /// Answers [`Command::OrderRollout`].
     OrderRollout(Box<OrderReply>),
     /// Answers [`Command::StepRollout`]: the roll-out as it stands, where there is one.
     StepRollout(Option<Box<Rollout>>),
     /// Answers [`Command::NoteReleases`] and [`Command::ReadRollouts`].
-    Rollouts(Arc<RolloutBook>),
+    Rollouts(Arc<RolloutState>),
     /// Answers [`Command::Expire`]: how many entries went.
     Expire(usize),
 }
@@ -125,13 +125,13 @@
     #[serde(default)]
     document: Arc<Document>,
     #[serde(default)]
-    usage: UsageBook,
+    usage: UsageWindows,
     #[serde(default)]
     notes: Notes,
     #[serde(default)]
-    rollouts: Arc<RolloutBook>,
+    rollouts: Arc<RolloutState>,
     #[serde(default)]
-    quarantine: Arc<QuarantineBook>,
+    quarantine: Arc<QuarantinedRequests>,
 }
 
 impl Machine {
@@ -205,12 +205,12 @@
     }
 
     /// The releases in force, and the roll-outs.
-    pub fn rollouts(&self) -> &Arc<RolloutBook> {
+    pub fn rollouts(&self) -> &Arc<RolloutState> {
         &self.rollouts
     }
 
     /// The requests that are kept from all servers.
-    pub fn quarantine(&self) -> &Arc<QuarantineBook> {
+    pub fn quarantine(&self) -> &Arc<QuarantinedRequests> {
         &self.quarantine
     }
 
--- a/src/state/quarantine.rs
+++ b/src/state/quarantine.rs
@@ -9,13 +9,13 @@
 use crate::units::UnixMillis;
 
 /// The requests, and until when each is held.
-pub type QuarantineBook = BTreeMap<Fingerprint, UnixMillis>;
+pub type QuarantinedRequests = BTreeMap<Fingerprint, UnixMillis>;
 
 /// A change of them.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuarantineChange {
     /// Those that are held from now on.
-    pub held: QuarantineBook,
+    pub held: QuarantinedRequests,
     /// Those that are let through again.
     pub lifted: BTreeSet<Fingerprint>,
 }
@@ -27,7 +27,7 @@
     }
 
     /// Makes the change.
-    pub(super) fn apply(&self, book: &mut QuarantineBook) {
+    pub(super) fn apply(&self, book: &mut QuarantinedRequests) {
         book.retain(|request, _| !self.lifted.contains(request));
         book.extend(&self.held);
     }
--- a/src/state/rollout.rs
+++ b/src/state/rollout.rs
@@ -135,14 +135,14 @@
 
 /// What the group knows of releases.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RolloutBook {
+pub struct RolloutState {
     /// The release in force of each service that was seen running.
     pub in_force: BTreeMap<ServiceName, Release>,
     /// The last roll-out of each service.
     pub rollouts: BTreeMap<ServiceName, Rollout>,
 }
 
-impl RolloutBook {
+impl RolloutState {
     /// The roll-outs under way.
     pub fn running(&self) -> impl Iterator<Item = &Rollout> {
         self.rollouts.values().filter(|rollout| !rollout.phase.is_finished())
--- a/src/state/usage.rs
+++ b/src/state/usage.rs
@@ -26,11 +26,11 @@
 
 /// The windows whose counts are fixed.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UsageBook {
+pub struct UsageWindows {
     settled: BTreeMap<Window, BTreeMap<TeamName, u64>>,
 }
 
-impl UsageBook {
+impl UsageWindows {
     /// Fixes a window's counts; the first that come stand, and are answered.
     pub fn settle(&mut self, settle: &Settle) -> Settle {
         let counts = self.settled.entry(settle.window).or_insert_with(|| settle.counts.clone());
--- a/tests/ends.rs
+++ b/tests/ends.rs
@@ -10,7 +10,7 @@
     BoxQuarantine, FleetQuarantine, QUARANTINE_TIME, QuarantineReport, QuarantineUpdate,
 };
 use emberturn::ids::Fingerprint;
-use emberturn::state::quarantine::QuarantineBook;
+use emberturn::state::quarantine::QuarantinedRequests;
 use emberturn::units::{Millis, UnixMillis};
 use yare::parameterized;
 
@@ -245,7 +245,7 @@
     pair.heartbeat();
     assert!(pair.is_quarantined(1));
     // What the replicated quarantine no longer contains was lifted.
-    pair.fleet.apply_replicated(Arc::new(QuarantineBook::new()));
+    pair.fleet.apply_replicated(Arc::new(QuarantinedRequests::new()));
     pair.heartbeat();
     assert!(!pair.is_quarantined(1));
     assert_eq!(pair.fleet.pending_change(), None);
@@ -307,10 +307,10 @@
     pair.heartbeat();
     let replicated = pair.fleet.pending_change().unwrap().held;
     pair.fleet.apply_replicated(Arc::new(replicated));
-    pair.fleet.apply_replicated(Arc::new(QuarantineBook::new()));
+    pair.fleet.apply_replicated(Arc::new(QuarantinedRequests::new()));
     pair.heartbeat();
     pair.fleet = FleetQuarantine::default();
-    pair.fleet.apply_replicated(Arc::new(QuarantineBook::new()));
+    pair.fleet.apply_replicated(Arc::new(QuarantinedRequests::new()));
     let now = Instant::now();
     let report = pair.own.report(now);
     pair.own.apply_reply(&report, None, true, now);
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -9,7 +9,7 @@
 use emberturn::decide::rollout::{RolloutTracker, next_step};
 use emberturn::decide::verdict::{RelativeLatency, RouteComparison, Verdict, evaluate};
 use emberturn::ids::{BoxId, Incarnation, Release, ServiceName};
-use emberturn::state::rollout::{OrderReply, Phase, Rollout, RolloutBook, RolloutOrder};
+use emberturn::state::rollout::{OrderReply, Phase, Rollout, RolloutState, RolloutOrder};
 use emberturn::units::Millis;
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
@@ -35,8 +35,8 @@
     }
 }
 
-fn running(name: &str) -> RolloutBook {
-    let mut book = RolloutBook::default();
+fn running(name: &str) -> RolloutState {
+    let mut book = RolloutState::default();
     book.note_running(&BTreeMap::from([(service(), release(name))]));
     book
 }
