--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -39,7 +39,7 @@
 use crate::relay::part_loads::{self, PartLoads};
 use crate::relay::table::RouteTable;
 use crate::settings::CloudSettings;
-use crate::state::notes::{LowTeams, Models, Spells};
+use crate::state::notes::{LowTeams, Models, OutageHistories};
 use crate::sync::lock;
 use crate::units::UnixMillis;
 
@@ -132,7 +132,7 @@
     /// The engine models stored by the group.
     pub(super) stored_models: Models,
     /// The histories of spot capacity outages stored by the group; `None` until the notes were read.
-    pub(super) stored_outages: Option<Spells>,
+    pub(super) stored_outages: Option<OutageHistories>,
     /// When the group was last asked to store engine models or outage histories.
     pub(super) models_stored_at: Option<Instant>,
     pub(super) rollouts: LeaderRollouts,
--- a/src/control/notes.rs
+++ b/src/control/notes.rs
@@ -11,7 +11,7 @@
 use crate::ids::{ServiceName, TeamName};
 use crate::node::Node;
 use crate::relay::table::RouteTable;
-use crate::state::notes::{LowTeams, Notes, Spells};
+use crate::state::notes::{LowTeams, Notes, OutageHistories};
 use crate::state::{Command, Reply};
 
 /// Time between two looks at the levels.
@@ -80,7 +80,7 @@
         }
         if let Some(spells) = self.next_spells() {
             self.models_stored_at = Some(Instant::now());
-            return Some(Command::NoteSpells(spells));
+            return Some(Command::NoteOutages(spells));
         }
         let kept = |name: &ServiceName| self.stored_models.get(name).copied().unwrap_or_default();
         let mut engines = self.models.iter();
@@ -105,7 +105,7 @@
     }
 
     /// What is known of dry spells, where it says something else than what the group has kept.
-    fn next_spells(&self) -> Option<Spells> {
+    fn next_spells(&self) -> Option<OutageHistories> {
         let kept = self.stored_outages.as_ref()?;
         let spells = self.spender.learned_outages();
         let differs = |(service, learned): (&ServiceName, &OutageHistory)| {
--- a/src/control/spend.rs
+++ b/src/control/spend.rs
@@ -17,7 +17,7 @@
 use crate::platform::client::Order;
 use crate::relay::list::Server;
 use crate::relay::table::{RouteTable, Scaling, Service};
-use crate::state::notes::{Models, Spells};
+use crate::state::notes::{Models, OutageHistories};
 
 /// Seconds of traffic after which the measured load replaces the initial number of engines.
 const FIRST_TRAFFIC_TIME: f64 = 5.0;
@@ -79,12 +79,12 @@
     }
 
     /// What was learned about spot outages, for the group to store.
-    pub(crate) fn learned_outages(&self) -> Spells {
+    pub(crate) fn learned_outages(&self) -> OutageHistories {
         self.outages.iter().map(|(service, outages)| (service.clone(), outages.learned())).collect()
     }
 
     /// Restores what a previous leader learned about spot outages.
-    pub(crate) fn restore_outages(&mut self, learned: &Spells) {
+    pub(crate) fn restore_outages(&mut self, learned: &OutageHistories) {
         for (service, learned) in learned {
             self.outages.entry(service.clone()).or_default().restore(learned.clone());
         }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -23,7 +23,7 @@
 use config::{Change, ChangeReply, Configuration};
 use document::{Document, PackedDocument, Version};
 use ledger::{Begin, BeginReply, End, EndReply, Ledger};
-use notes::{LowTeams, Models, Notes, Spells};
+use notes::{LowTeams, Models, Notes, OutageHistories};
 use quarantine::{QuarantinedRequests, QuarantineChange};
 use rollout::{OrderReply, Rollout, RolloutState, RolloutOrder, RolloutStep};
 use usage::{Settle, UsageWindows};
@@ -62,7 +62,8 @@
     /// Notes what is known of engines from now on.
     NoteEngines(Models),
     /// Notes what is known of dry spells from now on.
-    NoteSpells(Spells),
+    #[serde(rename = "note_spells")]
+    NoteOutages(OutageHistories),
     /// Holds requests that end their servers, or lets some through again.
     ChangeQuarantine(QuarantineChange),
     /// Asks for the notes, in its place among all commands.
@@ -101,7 +102,7 @@
     Document(Version),
     /// Answers [`Command::Settle`]: the counts that stand for the window.
     Settle(Settle),
-    /// Answers [`Command::NoteLow`], [`Command::NoteRelays`], [`Command::NoteEngines`], [`Command::NoteSpells`] and
+    /// Answers [`Command::NoteLow`], [`Command::NoteRelays`], [`Command::NoteEngines`], [`Command::NoteOutages`] and
     /// [`Command::ReadNotes`].
     Notes(Notes),
     /// Answers [`Command::ChangeQuarantine`]: all that are held.
@@ -167,7 +168,7 @@
                 self.notes.engines = models.clone();
                 Reply::Notes(self.notes.clone())
             }
-            Command::NoteSpells(spells) => {
+            Command::NoteOutages(spells) => {
                 self.notes.spells = spells.clone();
                 Reply::Notes(self.notes.clone())
             }
--- a/src/state/notes.rs
+++ b/src/state/notes.rs
@@ -17,7 +17,7 @@
 
 /// What was learned of the dry spells of each service, so that a new leader is as well prepared for the
 /// next one.
-pub type Spells = BTreeMap<ServiceName, OutageHistory>;
+pub type OutageHistories = BTreeMap<ServiceName, OutageHistory>;
 
 /// All notes.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
@@ -31,5 +31,5 @@
     pub engines: Models,
     /// What is known of dry spells.
     #[serde(default)]
-    pub spells: Spells,
+    pub spells: OutageHistories,
 }
