--- a/src/control/document_fetch.rs
+++ b/src/control/document_fetch.rs
@@ -17,7 +17,7 @@
 use crate::peer::Peers;
 use crate::peer::method::{self, DocumentAsk, DocumentPiece};
 use crate::peer::packed::Packed;
-use crate::state::difference::{Difference, MAX_TEXT_LEN, DifferenceError};
+use crate::state::difference::{Difference, DifferenceError, MAX_TEXT_LEN};
 use crate::state::document::{Document, Version};
 
 /// Timeout for a piece: thirty times its transfer time over a link of 10 Mbit/s.
--- a/src/control/notes.rs
+++ b/src/control/notes.rs
@@ -45,7 +45,7 @@
             }
             Some(Reply::Notes(notes)) => {
                 tracing::info!(
-                    event = "noted", low_teams = notes.low.len(), engines = ?notes.engines, term = %term,
+                    event = "noted", low_teams = notes.low_teams.len(), engines = ?notes.engines, term = %term,
                 );
                 // Behind the answer the blackboard has all that was decided before this term.
                 let quarantine = node.board.quarantine();
@@ -92,16 +92,16 @@
     }
 
     fn take_notes(&mut self, notes: Notes) {
-        self.low_teams = Some(notes.low);
+        self.low_teams = Some(notes.low_teams);
         self.presence.record_stored(notes.relays);
         for (service, model) in &notes.engines {
             self.models.entry(service.clone()).or_insert(*model);
         }
         self.stored_models = notes.engines;
         if self.stored_outages.is_none() {
-            self.spender.restore_outages(&notes.spells);
+            self.spender.restore_outages(&notes.outages);
         }
-        self.stored_outages = Some(notes.spells);
+        self.stored_outages = Some(notes.outages);
     }
 
     /// What is known of dry spells, where it says something else than what the group has kept.
--- a/src/control/quarantine.rs
+++ b/src/control/quarantine.rs
@@ -7,7 +7,7 @@
 use crate::error::{Failure, Kind};
 use crate::ids::Fingerprint;
 use crate::node::Node;
-use crate::state::quarantine::{QuarantinedRequests, QuarantineChange};
+use crate::state::quarantine::{QuarantineChange, QuarantinedRequests};
 use crate::state::{Command, Reply};
 
 /// Timeout for a command to the group.
--- a/src/control/rollouts.rs
+++ b/src/control/rollouts.rs
@@ -15,7 +15,7 @@
 use crate::ids::{BoxId, Incarnation, Release, ServiceName, Term};
 use crate::node::Node;
 use crate::settings::RolloutSettings;
-use crate::state::rollout::{OrderReply, Phase, Rollout, RolloutState, RolloutOrder, RolloutStep};
+use crate::state::rollout::{OrderReply, Phase, Rollout, RolloutOrder, RolloutState, RolloutStep};
 use crate::state::{Command, Reply};
 use crate::units::UnixMillis;
 
--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -15,7 +15,7 @@
 
 use super::ends::{CRASHES_TO_QUARANTINE, CrashReport, CrashTracker};
 use crate::ids::{BackendId, Fingerprint};
-use crate::state::quarantine::{QuarantinedRequests, QuarantineChange};
+use crate::state::quarantine::{QuarantineChange, QuarantinedRequests};
 use crate::units::{Millis, UnixMillis};
 
 /// How long a request is quarantined. Software that crashes under a request is seldom fixed sooner,
--- a/src/state/difference.rs
+++ b/src/state/difference.rs
@@ -73,7 +73,8 @@
         // Where the text at `at` would stand in the former one, had nothing changed since the last stretch.
         let mut expected = 0;
         while at + BLOCK_LEN <= text.len() {
-            let Some(from) = find_block(former, &blocks, &text[at..at + BLOCK_LEN], expected) else {
+            let Some(from) = find_block(former, &blocks, &text[at..at + BLOCK_LEN], expected)
+            else {
                 (at, expected) = (at + 1, expected + 1);
                 continue;
             };
@@ -145,7 +146,10 @@
 }
 
 /// How many elements both begin with.
-fn common_prefix_len<'a>(one: impl Iterator<Item = &'a u8>, other: impl Iterator<Item = &'a u8>) -> usize {
+fn common_prefix_len<'a>(
+    one: impl Iterator<Item = &'a u8>,
+    other: impl Iterator<Item = &'a u8>,
+) -> usize {
     one.zip(other).take_while(|(one, other)| one == other).count()
 }
 
--- a/src/state/document.rs
+++ b/src/state/document.rs
@@ -10,7 +10,7 @@
 use base64::engine::general_purpose::STANDARD_NO_PAD;
 use serde::{Deserialize, Serialize};
 
-use super::difference::{Difference, Digest, DifferenceError};
+use super::difference::{Difference, DifferenceError, Digest};
 
 pub use crate::ids::Version;
 
@@ -51,7 +51,8 @@
     /// # Errors
     /// When it is damaged.
     pub fn unpack(&self) -> Result<Document, DifferenceError> {
-        let packed = STANDARD_NO_PAD.decode(&self.packed).map_err(|_| DifferenceError::Unreadable)?;
+        let packed =
+            STANDARD_NO_PAD.decode(&self.packed).map_err(|_| DifferenceError::Unreadable)?;
         let text = Difference::unpack(&packed)?.apply("", self.digest)?;
         Ok(Document { version: self.version, text: text.into() })
     }
--- a/src/state/ledger.rs
+++ b/src/state/ledger.rs
@@ -191,7 +191,8 @@
         if entry.progress != Progress::Running {
             return EndReply::Recorded;
         }
-        let outcome = drop_oversized_body(end.outcome.clone(), MAX_ANSWER_BYTES.saturating_sub(self.bytes));
+        let outcome =
+            drop_oversized_body(end.outcome.clone(), MAX_ANSWER_BYTES.saturating_sub(self.bytes));
         self.bytes += body_bytes(&outcome);
         entry.progress = Progress::Ended(outcome);
         entry.changed_at = at;
@@ -239,7 +240,9 @@
 
 fn drop_oversized_body(outcome: Outcome, available: usize) -> Outcome {
     match outcome {
-        Outcome::Done(answer) if answer.body.as_ref().is_some_and(|body| body.len() > available) => {
+        Outcome::Done(answer)
+            if answer.body.as_ref().is_some_and(|body| body.len() > available) =>
+        {
             Outcome::Done(RecordedAnswer { body: None, ..answer })
         }
         other => other,
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -24,8 +24,8 @@
 use document::{Document, PackedDocument, Version};
 use ledger::{Begin, BeginReply, End, EndReply, Ledger};
 use notes::{LowTeams, Models, Notes, OutageHistories};
-use quarantine::{QuarantinedRequests, QuarantineChange};
-use rollout::{OrderReply, Rollout, RolloutState, RolloutOrder, RolloutStep};
+use quarantine::{QuarantineChange, QuarantinedRequests};
+use rollout::{OrderReply, Rollout, RolloutOrder, RolloutState, RolloutStep};
 use usage::{Settle, UsageWindows};
 use work::{Claim, ClaimReply, Finish, Keep, KeepReply, WorkId, WorkStore, WorkView};
 
@@ -157,7 +157,7 @@
             Command::ReadDocument => Reply::Document(self.document.version),
             Command::Settle(settle) => Reply::Settle(self.usage.settle(settle)),
             Command::NoteLow(teams) => {
-                self.notes.low = teams.clone();
+                self.notes.low_teams = teams.clone();
                 Reply::Notes(self.notes.clone())
             }
             Command::NoteRelays(relays) => {
@@ -168,8 +168,8 @@
                 self.notes.engines = models.clone();
                 Reply::Notes(self.notes.clone())
             }
-            Command::NoteOutages(spells) => {
-                self.notes.spells = spells.clone();
+            Command::NoteOutages(outages) => {
+                self.notes.outages = outages.clone();
                 Reply::Notes(self.notes.clone())
             }
             Command::ChangeQuarantine(change) => {
--- a/src/state/notes.rs
+++ b/src/state/notes.rs
@@ -23,13 +23,14 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Notes {
     /// Teams whose levels may be low.
-    pub low: LowTeams,
+    #[serde(rename = "low")]
+    pub low_teams: LowTeams,
     /// How many relays there are.
     #[serde(default)]
     pub relays: u32,
     /// What is known of engines.
     pub engines: Models,
     /// What is known of dry spells.
-    #[serde(default)]
-    pub spells: OutageHistories,
+    #[serde(rename = "spells", default)]
+    pub outages: OutageHistories,
 }
--- a/src/state/rollout.rs
+++ b/src/state/rollout.rs
@@ -155,7 +155,9 @@
             let is_same_order = held.order.is_same_order(order);
             let is_recent = at.saturating_sub(held.ordered) <= order.repeats.0;
             match held.phase {
-                Phase::Trial | Phase::Shift if is_same_order => return OrderReply::Taken(held.clone()),
+                Phase::Trial | Phase::Shift if is_same_order => {
+                    return OrderReply::Taken(held.clone());
+                }
                 Phase::Trial | Phase::Shift => return OrderReply::Conflict(held.clone()),
                 Phase::Completed | Phase::RolledBack if is_same_order && is_recent => {
                     return OrderReply::Taken(held.clone());
--- a/tests/difference.rs
+++ b/tests/difference.rs
@@ -4,7 +4,7 @@
 #[allow(dead_code, reason = "each test takes what it needs")]
 mod platform;
 
-use emberturn::state::difference::{Difference, Digest, DifferenceError};
+use emberturn::state::difference::{Difference, DifferenceError, Digest};
 use platform::{document, route};
 use proptest::prelude::*;
 use serde_json::Value;
@@ -59,7 +59,10 @@
     let difference = Difference::between(&former, &next);
     let digest = Digest::of(&next);
     assert_eq!(difference.apply(&former, digest), Ok(next));
-    assert_eq!(difference.apply(&former.replace('a', "c"), digest), Err(DifferenceError::DigestMismatch));
+    assert_eq!(
+        difference.apply(&former.replace('a', "c"), digest),
+        Err(DifferenceError::DigestMismatch)
+    );
     assert_eq!(difference.apply("a", digest), Err(DifferenceError::OutOfBounds));
     assert_eq!(Difference::unpack(&[7; 9]), Err(DifferenceError::Unreadable));
 }
--- a/tests/hazard.rs
+++ b/tests/hazard.rs
@@ -145,7 +145,7 @@
     println!("{size} bytes");
     let mut machine = Machine::default();
     machine.apply(1, &Command::NoteOutages(histories));
-    let Reply::Notes(Notes { spells: histories, .. }) = machine.apply(2, &Command::ReadNotes)
+    let Reply::Notes(Notes { outages: histories, .. }) = machine.apply(2, &Command::ReadNotes)
     else {
         panic!("no notes");
     };
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -318,7 +318,7 @@
     let teams: std::collections::BTreeSet<TeamName> = ["team-a".parse().unwrap()].into();
     assert_eq!(machine.apply(1, &Command::ReadNotes), Reply::Notes(Notes::default()));
     machine.apply(2, &Command::NoteLow(teams.clone()));
-    let kept = Notes { low: teams, ..Notes::default() };
+    let kept = Notes { low_teams: teams, ..Notes::default() };
     assert_eq!(machine.apply(3, &Command::ReadNotes), Reply::Notes(kept));
 }
 
--- a/tests/rollout.rs
+++ b/tests/rollout.rs
@@ -9,7 +9,7 @@
 use emberturn::decide::rollout::{RolloutTracker, next_step};
 use emberturn::decide::verdict::{RelativeLatency, RouteComparison, Verdict, evaluate};
 use emberturn::ids::{BoxId, Incarnation, Release, ServiceName};
-use emberturn::state::rollout::{OrderReply, Phase, Rollout, RolloutState, RolloutOrder};
+use emberturn::state::rollout::{OrderReply, Phase, Rollout, RolloutOrder, RolloutState};
 use emberturn::units::Millis;
 use proptest::prelude::*;
 use rand::rngs::SmallRng;
