--- a/src/state/change_file.rs
+++ b/src/state/change_file.rs
@@ -1,7 +1,7 @@
-//! Reads a change from an INI file as operators write it.
+//! Reads a configuration change from an INI file written by an operator.
 //!
-//! A section's name is a kind and a name, such as `team portal` or `backend_server e1`; `remove
-//! team portal` removes. A policy's program stands in a file of its own, named by the key `file`
+//! A section title is a kind and a name, such as `team portal` or `backend_server e1`; `remove
+//! team portal` removes that team. A policy's program is in a separate file, which the key `file` names
 //! relative to the change file.
 
 use std::path::Path;
@@ -25,7 +25,7 @@
 /// Reads the change file at `path`.
 ///
 /// # Errors
-/// When it or a policy's file cannot be read, or holds any fault; all faults are reported.
+/// When the file or a policy's file cannot be read or is invalid; all faults are reported together.
 pub fn load(path: &Path, id: ChangeId, expect: Option<Revision>) -> Result<Change, SettingsError> {
     let text =
         std::fs::read_to_string(path).map_err(|error| SettingsError::unreadable(path, &error))?;
@@ -33,8 +33,8 @@
     parse(&path.display().to_string(), &text, folder, id, expect)
 }
 
-/// Reads a change given as text; `name` stands for the file in errors, `folder` is where policies'
-/// files are looked for.
+/// Parses a change from text. `name` is the file name used in errors; paths of policy files are
+/// relative to `folder`.
 ///
 /// # Errors
 /// As [`load`].
@@ -62,7 +62,7 @@
     Ok(Change { id, expect, edits })
 }
 
-/// Reads one section. `None`: the section has faults of its own, which it keeps.
+/// Reads one section. Returns `None` when the section has recorded faults of its own.
 fn read_edit(section: &mut Section, title: &str, folder: &Path) -> Result<Option<Edit>, String> {
     let words: Vec<_> = title.split_whitespace().collect();
     let edit = match words.as_slice() {
--- a/src/state/config.rs
+++ b/src/state/config.rs
@@ -1,8 +1,8 @@
-//! The configuration operators write: services, teams, backend servers, policies and limits.
+//! The configuration that operators write: services, teams, backend servers, policies and limits.
 //!
-//! A change carries the operator's change id and the revision it was made against. Of two changes
-//! made against the same revision one wins; the other is told the winner. A resent id gets its
-//! first answer again.
+//! A change carries the operator's change ID and the revision it was made against (optimistic
+//! concurrency). Of two changes made against the same revision one is accepted; the other gets a
+//! conflict that names the accepted one. A change sent again under the same ID gets its first answer.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -16,7 +16,8 @@
 use crate::ids::{BackendId, ChangeId, DataCentre, PolicyName, Revision, ServiceName, TeamName};
 use crate::units::{Millis, Price, Tokens};
 
-/// Accepted changes kept for deltas, resent ids and the history, at most.
+/// The maximum number of accepted changes kept: to answer followers with the changes since their
+/// revision, to recognize IDs sent again, and for operators to read.
 pub const HISTORY_LIMIT: usize = 4_096;
 
 /// The SHA-256 digest of a team's bearer key, in hexadecimal.
@@ -25,25 +26,25 @@
 pub struct KeyDigest(String);
 
 impl KeyDigest {
-    /// The digest of a key as the caller sends it.
+    /// Hashes a key as the caller sends it.
     pub fn of(key: &str) -> Self {
         Self(hex_digest(key.as_bytes()))
     }
 }
 
-/// The SHA-256 digest of some bytes, in hexadecimal.
+/// Returns the SHA-256 digest of `bytes`, in hexadecimal.
 pub(crate) fn hex_digest(bytes: &[u8]) -> String {
     Sha256::digest(bytes).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// How urgent a team's requests are when they do not say.
+/// The urgency of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// Somebody waits for the first token.
+    /// A caller waits for the first token.
     #[default]
     Interactive,
-    /// May be slow, may not be lost.
+    /// May be answered late, but must not be lost.
     Batch,
 }
 
@@ -68,30 +69,30 @@
     }
 }
 
-/// A team and what it is owed.
+/// A team's credentials, latency targets and limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Team {
-    /// Who may speak for the team.
+    /// The digest of the bearer key that authenticates the team's requests.
     pub key: KeyDigest,
-    /// The class of requests that name none.
+    /// The class of requests that specify none.
     pub class: Class,
-    /// Target for the first token, 95th percentile.
+    /// The target for the time to the first token, 95th percentile.
     pub first_token: Millis,
-    /// Target between tokens, 95th percentile.
+    /// The target for the time between two tokens, 95th percentile.
     pub between: Millis,
-    /// Requests in flight over the whole fleet.
+    /// The maximum number of requests in flight on all boxes together.
     pub concurrent: u32,
-    /// Tokens in flight over the whole fleet.
+    /// The maximum number of tokens in flight on all boxes together.
     pub budget: Tokens,
-    /// Share of waiting capacity relative to other teams; at least 1.
+    /// The team's share of capacity relative to other teams with queued requests; at least 1.
     pub weight: u32,
 }
 
-/// What a service's backend servers are.
+/// The kind of backend servers that serve a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
-    /// Model engines; the service's name is the model's.
+    /// Model engines; the service has the name of the model.
     Engine,
     /// Plain HTTP servers.
     Plain,
@@ -109,48 +110,49 @@
     }
 }
 
-/// A service.
+/// A service and how its requests are handled.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// What serves it.
+    /// The kind of its backend servers.
     pub kind: ServiceKind,
-    /// Whether its requests may run more than once.
+    /// Whether its requests may run more than once, so that they can be retried.
     pub repeatable: bool,
-    /// How long a backend server may be silent.
+    /// The longest time that a backend server may send nothing.
     pub silence: Millis,
-    /// The policy that decides for it.
+    /// The policy program that makes its decisions, if any.
     pub policy: Option<PolicyName>,
 }
 
-/// A backend server.
+/// A backend server: its address, capacity and price.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendServer {
     /// The service it serves.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address it listens on.
     pub addr: SocketAddr,
-    /// Where it is.
+    /// The zone it runs in.
     pub data_centre: DataCentre,
-    /// Requests it runs well at the same time.
+    /// How many requests it can process concurrently without slowing down.
     pub slots: u32,
-    /// What its box costs an hour.
+    /// The price of its box per hour.
     pub price: Price,
-    /// Whether its box may be taken back.
+    /// Whether the provider may reclaim its box (spot capacity).
     pub reclaimable: bool,
-    /// Whether it checks the fence of orders.
+    /// Whether it checks fencing tokens.
     pub fenced: bool,
 }
 
 /// Limits for the whole system.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Entry boxes among which the even half of each team's limits is split: no fewer than run.
+    /// The number of entry boxes among which the evenly split half of each team's limits is divided.
+    /// Must not be less than the number that run.
     pub entry_boxes: u32,
-    /// Retries and hedges as a share of requests, in percent.
+    /// The maximum of retries and hedges as a share of requests, in percent.
     pub retry_percent: u32,
-    /// How long the ledger remembers unrepeatable requests.
+    /// How long the ledger keeps unrepeatable requests.
     pub ledger_age: Millis,
-    /// How long kept work and its result stay.
+    /// How long kept work and its result are stored once it is finished.
     pub work_age: Millis,
 }
 
@@ -161,7 +163,7 @@
     }
 }
 
-/// One step of a change.
+/// One edit of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Edit {
@@ -185,14 +187,14 @@
     PutLimits(Limits),
 }
 
-/// An operator's change: all of its edits or none.
+/// An operator's change. Its edits are applied atomically.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The operator's id for it.
+    /// The ID the operator gave it; sent again, it gets the first answer.
     pub id: ChangeId,
-    /// The revision it was made against; absent: whichever is in force.
+    /// The revision it was made against; `None` applies it to whichever revision is in force.
     pub expect: Option<Revision>,
-    /// Its steps, in order.
+    /// Its edits, in the order they are applied.
     pub edits: Vec<Edit>,
 }
 
@@ -200,23 +202,23 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeReply {
-    /// The change made this revision.
+    /// The change was accepted and produced this revision.
     Accepted(Revision),
-    /// Another change came first; the revision it made, and its id.
+    /// The expected revision is not the one in force.
     Conflict {
         /// The revision in force.
         current: Revision,
-        /// The change that made the revision after the expected one, where still known.
+        /// The change that produced the revision after the expected one, if it is still in the history.
         winner: Option<ChangeId>,
     },
-    /// The change would leave the configuration inconsistent.
+    /// The change would make the configuration inconsistent; says how.
     Invalid(String),
 }
 
-/// One accepted change and the revision it made.
+/// An accepted change and the revision it produced.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// The revision made.
+    /// The revision produced.
     pub revision: Revision,
     /// The change.
     pub change: Change,
@@ -225,24 +227,24 @@
 /// The configuration in force.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Its revision; 0 before the first change.
+    /// The revision; 0 before the first change.
     pub revision: Revision,
     /// Teams by name.
     pub teams: BTreeMap<TeamName, Team>,
     /// Services by name.
     pub services: BTreeMap<ServiceName, Service>,
-    /// Backend servers by id.
+    /// Backend servers by ID.
     pub backends: BTreeMap<BackendId, BackendServer>,
-    /// Policies' programs by name.
+    /// The programs of policies by name.
     pub policies: BTreeMap<PolicyName, String>,
-    /// Limits.
+    /// Limits for the whole system.
     pub limits: Limits,
     /// The latest accepted changes, oldest first.
     pub history: VecDeque<Arc<Accepted>>,
 }
 
 impl Configuration {
-    /// Applies a change whole, or not at all.
+    /// Applies a change atomically: on a conflict or an inconsistency nothing is changed.
     pub fn apply(&mut self, change: &Change) -> ChangeReply {
         if let Some(first) = self.history.iter().find(|accepted| accepted.change.id == change.id) {
             return ChangeReply::Accepted(first.revision);
@@ -264,7 +266,8 @@
         ChangeReply::Accepted(self.revision)
     }
 
-    /// The changes after `from`, or `None` where some are no longer held.
+    /// Returns the changes after `from`, or `None` if some are no longer in the history or `from` is
+    /// newer than the revision in force.
     pub fn changes_after(&self, from: Revision) -> Option<Vec<Arc<Accepted>>> {
         let missing = self.revision.0.checked_sub(from.0)?;
         let held = self.history.len() as u64;
@@ -274,18 +277,18 @@
         Some(self.history.iter().skip((held - missing) as usize).cloned().collect())
     }
 
-    /// The change that made `revision`, where still held.
+    /// Returns the ID of the change that produced `revision`, if it is still in the history.
     pub fn change_id_at(&self, revision: Revision) -> Option<ChangeId> {
         let found = self.history.iter().find(|accepted| accepted.revision == revision)?;
         Some(found.change.id.clone())
     }
 
-    /// The team a key belongs to.
+    /// Returns the team that a key belongs to.
     pub fn team_of(&self, digest: &KeyDigest) -> Option<(&TeamName, &Team)> {
         self.teams.iter().find(|(_, team)| team.key == *digest)
     }
 
-    /// The backend servers of a service.
+    /// Returns the backend servers of a service.
     pub fn backends_of<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -293,10 +296,10 @@
         self.backends.iter().filter(move |(_, backend)| backend.service == *service)
     }
 
-    /// The fault that makes the configuration inconsistent, if there is one.
+    /// Checks that the configuration is consistent.
     ///
     /// # Errors
-    /// A sentence naming the first fault.
+    /// Describes the first inconsistency found.
     pub fn check(&self) -> Result<(), String> {
         for (id, backend) in &self.backends {
             if !self.services.contains_key(&backend.service) {
@@ -331,6 +334,7 @@
         Ok(())
     }
 
+    /// Returns a copy with an empty history, which is long and would be copied on every change.
     fn without_history(&self) -> Self {
         Self {
             revision: self.revision,
--- a/src/state/difference.rs
+++ b/src/state/difference.rs
@@ -1,7 +1,7 @@
-//! What turns one text into another: stretches of the former one, and new text between them.
+//! Differences between texts: ranges copied from the former text, and inserted bytes between them.
 //!
-//! It knows nothing of what the texts say, so the one that comes out is the other one to the byte; a hash tells
-//! whether it is. Packed, it is deflated: routes resemble each other.
+//! The content is opaque, so applying a difference reproduces the text byte for byte, which a digest
+//! verifies. A packed difference is compressed by DEFLATE, as routes resemble each other.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -12,65 +12,67 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// Bytes of the former text that are looked up together. A stretch of it that is shorter costs about as much
-/// to name as to send.
+/// The length of an indexed block of the former text, in bytes. Referring to a shorter range takes about
+/// as many bytes as sending it.
 const BLOCK_LEN: usize = 32;
 
-/// Places of a block that are remembered. More of them are boilerplate, whose place tells nothing.
+/// The maximum number of offsets indexed for equal blocks. A block with more is boilerplate, and its
+/// offset does not help to find a long match.
 const MAX_OFFSETS_PER_BLOCK: usize = 512;
 
-/// The longest text that is put together, in bytes: a damaged difference must not fill the memory.
+/// The maximum length of a reconstructed text in bytes, so that a damaged difference cannot exhaust
+/// memory.
 pub const MAX_TEXT_LEN: usize = 16 << 20;
 
-/// A hash of a text.
+/// The SHA-256 digest of a text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest([u8; 32]);
 
 impl Digest {
-    /// The hash of a text.
+    /// Computes the digest of `text`.
     pub fn of(text: &str) -> Self {
         Self(Sha256::digest(text.as_bytes()).into())
     }
 }
 
-/// Why a difference gives no text.
+/// An error in reading or applying a difference.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DifferenceError {
-    /// It can't be read.
+    /// The packed difference cannot be decoded.
     #[error("the difference can't be read")]
     Unreadable,
-    /// It goes beyond the text that it is applied to, or beyond [`MAX_TEXT_LEN`].
+    /// A range exceeds the former text, or the result exceeds [`MAX_TEXT_LEN`].
     #[error("the difference is out of bounds")]
     OutOfBounds,
-    /// What comes out is another text.
+    /// The result does not have the expected digest, or is not UTF-8.
     #[error("the text that comes out has another hash")]
     DigestMismatch,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 enum Step {
-    /// So many bytes of the former text, from this one on.
+    /// Copies `count` bytes of the former text, starting at offset `from`.
     Copy { from: u32, count: u32 },
-    /// New bytes.
+    /// Inserts these bytes.
     Insert(Vec<u8>),
 }
 
-/// What turns one text into another.
+/// The steps that turn one text into another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Difference {
     steps: Vec<Step>,
 }
 
 impl Difference {
-    /// What turns `former` into `text`.
+    /// Computes the steps that turn `former` into `text`.
     pub fn between(former: &str, text: &str) -> Self {
         let (former, text) = (former.as_bytes(), text.as_bytes());
         let blocks = index_blocks(former);
         let mut steps = Vec::new();
-        // Without a former text there is nothing to look for.
+        // Without indexed blocks there is nothing to match: the whole text is inserted.
         let mut at = if blocks.is_empty() { text.len() } else { 0 };
         let mut done = 0;
-        // Where the text at `at` would stand in the former one, had nothing changed since the last stretch.
+        // The offset in `former` that corresponds to `at` if nothing changed since the last match.
         let mut expected = 0;
         while at + BLOCK_LEN <= text.len() {
             let Some(from) = find_block(former, &blocks, &text[at..at + BLOCK_LEN], expected)
@@ -89,7 +91,7 @@
         Self { steps }
     }
 
-    /// The text that comes out of `former`, if it has this hash.
+    /// Applies the steps to `former` and checks the result against `digest`.
     ///
     /// # Errors
     /// [`DifferenceError::OutOfBounds`] or [`DifferenceError::DigestMismatch`].
@@ -117,7 +119,7 @@
         }
     }
 
-    /// The difference as bytes.
+    /// Encodes and compresses the difference.
     pub fn pack(&self) -> Vec<u8> {
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::default());
         let steps = postcard::to_allocvec(&self.steps).expect("steps always encode");
@@ -125,7 +127,7 @@
         written.expect("memory takes all that is written")
     }
 
-    /// A difference from its bytes.
+    /// Decompresses and decodes a difference.
     ///
     /// # Errors
     /// [`DifferenceError::Unreadable`].
@@ -145,7 +147,7 @@
     }
 }
 
-/// How many elements both begin with.
+/// Returns the length of the common prefix of two sequences.
 fn common_prefix_len<'a>(
     one: impl Iterator<Item = &'a u8>,
     other: impl Iterator<Item = &'a u8>,
@@ -153,7 +155,7 @@
     one.zip(other).take_while(|(one, other)| one == other).count()
 }
 
-/// The offsets of the blocks of a text, in order.
+/// Maps each aligned block of a text to its offsets, in ascending order.
 fn index_blocks(text: &[u8]) -> HashMap<&[u8], Vec<u32>> {
     let mut blocks: HashMap<&[u8], Vec<u32>> = HashMap::with_capacity(text.len() / BLOCK_LEN);
     for (block_index, block) in text.chunks_exact(BLOCK_LEN).enumerate() {
@@ -165,7 +167,8 @@
     blocks
 }
 
-/// Where a block stands in the former text: where it is expected, else as near as possible.
+/// Returns the offset of `block` in the former text: the expected one if it matches, otherwise the
+/// nearest indexed one.
 fn find_block(
     former: &[u8],
     blocks: &HashMap<&[u8], Vec<u32>>,
--- a/src/state/document.rs
+++ b/src/state/document.rs
@@ -1,8 +1,9 @@
-//! A document that operators publish for every entry box: the table of routes, as they wrote it.
+//! The document that operators publish for all entry boxes: the route table.
 //!
-//! The group does not read it. It keeps the text with its version, and the highest version wins; so
-//! what an operator reads back is what was published, to the byte. Between replicas and in their logs it is packed: an
-//! entry that is long on its way holds up the heartbeats behind it, and with them the leader's lease.
+//! The group does not parse it. It stores the text with its version and keeps the highest version, so
+//! operators read back exactly the bytes they published. Between replicas and in their logs the text is
+//! compressed: a log entry that takes long to send delays the heartbeats queued behind it, and with
+//! them the leader's lease.
 
 use std::sync::Arc;
 
@@ -14,12 +15,12 @@
 
 pub use crate::ids::Version;
 
-/// A published document. Version 0 stands for none.
+/// A published document. Version 0 means that none has been published.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// Its version, chosen by the operator.
+    /// The version, chosen by the operator.
     pub version: Version,
-    /// Its text.
+    /// The text as published.
     pub text: Arc<str>,
 }
 
@@ -29,27 +30,27 @@
     }
 }
 
-/// A document as the group's log has it: its text deflated.
+/// A document as it is stored in the group's log, with its text compressed by DEFLATE.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedDocument {
     version: Version,
     digest: Digest,
-    /// In base64, as an entry is text.
+    /// Base64, because a log entry is text.
     packed: String,
 }
 
 impl PackedDocument {
-    /// Packs a document; for a megabyte this takes tens of milliseconds.
+    /// Compresses a document, which takes tens of milliseconds per megabyte.
     pub fn pack(document: &Document) -> Self {
         let packed = Difference::between("", &document.text).pack();
         let digest = Digest::of(&document.text);
         Self { version: document.version, digest, packed: STANDARD_NO_PAD.encode(packed) }
     }
 
-    /// The document.
+    /// Decompresses the document.
     ///
     /// # Errors
-    /// When it is damaged.
+    /// When the data is damaged or the text does not match its digest.
     pub fn unpack(&self) -> Result<Document, DifferenceError> {
         let packed =
             STANDARD_NO_PAD.decode(&self.packed).map_err(|_| DifferenceError::Unreadable)?;
--- a/src/state/ledger.rs
+++ b/src/state/ledger.rs
@@ -1,7 +1,7 @@
-//! The ledger: which unrepeatable requests were begun, and what became of them.
+//! The ledger of unrepeatable requests: which attempts were begun, and their outcomes.
 //!
-//! An entry node records an attempt here, on a majority of disks, before the first byte goes to a
-//! backend server. Nothing else may run the same key until the attempt is proved not to have run.
+//! An entry node records an attempt here, on a majority of disks, before it sends the first byte to a
+//! backend server. No other attempt for the same key may run until this one is proven not to have run.
 
 use std::collections::BTreeMap;
 
@@ -10,42 +10,44 @@
 use crate::ids::{AttemptId, BackendId, BoxId, Incarnation, RequestKey, TeamName};
 use crate::units::Millis;
 
-/// Entries the ledger holds at most; one more is refused, which is an honest "not run".
+/// The maximum number of entries. A request beyond it is refused before it runs, so "not run" is a
+/// truthful answer.
 pub const MAX_ENTRIES: usize = 200_000;
 
-/// Bytes of recorded answers the ledger holds at most; a larger answer is recorded without a body.
+/// The maximum total size of recorded bodies, in bytes. An answer whose body does not fit is recorded
+/// without it.
 pub const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// Whose request it is. Keys of different teams never meet.
+/// Identifies a request. Each team has its own key space.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LedgerKey {
     /// The team.
     pub team: TeamName,
-    /// The team's key for the request.
+    /// The key that the team gave the request.
     pub key: RequestKey,
 }
 
-/// The process that makes an attempt: a box and one life of its process.
+/// The process that makes an attempt: a box and the incarnation of its process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
     /// The box.
     pub box_id: BoxId,
-    /// The process's life.
+    /// The incarnation of the process.
     pub life: Incarnation,
 }
 
 /// An attempt that is about to be sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Begin {
-    /// Whose request.
+    /// The request.
     pub key: LedgerKey,
-    /// SHA-256 of path and body, in hexadecimal.
+    /// SHA-256 of path and body, in hexadecimal. Detects a key used for two different requests.
     pub digest: String,
-    /// Where the attempt goes.
+    /// The backend server that the attempt is sent to.
     pub backend: BackendId,
-    /// The attempt.
+    /// The ID of the attempt.
     pub attempt: AttemptId,
-    /// Who makes it.
+    /// The process that makes it.
     pub owner: Owner,
 }
 
@@ -56,17 +58,17 @@
     pub status: u16,
     /// The content type.
     pub content: String,
-    /// The body as text; `None` when it was too large or not text.
+    /// The body; `None` if it was too large or not text.
     pub body: Option<String>,
 }
 
-/// What became of an attempt.
+/// The outcome of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
     /// It ran and was answered.
     Done(RecordedAnswer),
-    /// Proof exists that it did not run; another attempt may be made.
+    /// It is proven not to have run; another attempt may be made.
     NotRun,
     /// It may have run.
     Unknown,
@@ -75,11 +77,11 @@
 /// The end of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
-    /// Whose request.
+    /// The request.
     pub key: LedgerKey,
-    /// Which attempt.
+    /// The ID of the attempt.
     pub attempt: AttemptId,
-    /// What became of it.
+    /// The outcome.
     pub outcome: Outcome,
 }
 
@@ -89,18 +91,18 @@
 pub enum BeginReply {
     /// The attempt is recorded and may be sent.
     Go,
-    /// The request has been answered: the same answer again.
+    /// The request has been answered before; this is the recorded answer.
     Answered(RecordedAnswer),
-    /// Another attempt is under way.
+    /// Another attempt is in progress.
     Running {
-        /// Who makes it.
+        /// The process that makes it.
         owner: Owner,
-        /// Which attempt.
+        /// The ID of the attempt.
         attempt: AttemptId,
     },
     /// An earlier attempt may have run.
     Unknown,
-    /// The key came with another digest.
+    /// The key was used before for a request with another digest.
     Conflict,
     /// The ledger is full.
     Full,
@@ -112,7 +114,7 @@
 pub enum EndReply {
     /// The outcome is recorded.
     Recorded,
-    /// The ledger knows no such attempt.
+    /// The ledger has no such attempt.
     NoSuchAttempt,
 }
 
@@ -134,7 +136,7 @@
     changed_at: u64,
 }
 
-/// The ledger's entries.
+/// The entries of the ledger, by request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     #[serde(with = "crate::state::work::pairs")]
@@ -143,7 +145,8 @@
 }
 
 impl Ledger {
-    /// Records an attempt if nothing forbids it.
+    /// Records an attempt unless an earlier one for the same key may have run. Idempotent for the
+    /// attempt in progress.
     pub fn begin(&mut self, at: u64, begin: &Begin) -> BeginReply {
         if let Some(entry) = self.entries.get(&begin.key) {
             if entry.digest != begin.digest {
@@ -182,7 +185,7 @@
         BeginReply::Go
     }
 
-    /// Records what became of an attempt. The first outcome stays.
+    /// Records the outcome of an attempt. Only the first outcome counts.
     pub fn end(&mut self, at: u64, end: &End) -> EndReply {
         let found = self.entries.get_mut(&end.key);
         let Some(entry) = found.filter(|entry| entry.attempt == end.attempt) else {
@@ -199,7 +202,7 @@
         EndReply::Recorded
     }
 
-    /// Drops entries older than `age`.
+    /// Removes entries that have not changed for longer than `age` and returns how many.
     pub fn expire(&mut self, at: u64, age: Millis) -> usize {
         let before = self.entries.len();
         self.entries.retain(|_, entry| !is_older_than(at, entry.changed_at, age));
@@ -211,17 +214,17 @@
         before - self.entries.len()
     }
 
-    /// Whether [`Ledger::expire`] would drop anything.
+    /// Whether [`Ledger::expire`] would remove anything.
     pub fn has_expired(&self, at: u64, age: Millis) -> bool {
         self.entries.values().any(|entry| is_older_than(at, entry.changed_at, age))
     }
 
-    /// How many entries are held.
+    /// The number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no entry is held.
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,8 +1,8 @@
-//! What the replicated log carries: configuration, the ledger of unrepeatable work, kept work.
+//! The replicated state: configuration, the ledger of unrepeatable requests, kept work, the published
+//! document, reported usage, roll-outs, quarantined requests and the leader's notes.
 //!
-//! [`Machine`] is the deterministic state machine: the same entries in the same order give the same
-//! state and the same replies on every replica. It reads no clock: each entry carries the leader's
-//! time.
+//! [`Machine`] is the deterministic state machine: the same log entries in the same order give the same
+//! state and the same replies on every replica. It reads no clock; each entry carries the leader's time.
 
 pub mod change_file;
 pub mod config;
@@ -31,52 +31,53 @@
 
 use crate::ids::{Release, ServiceName};
 
-/// One entry's content.
+/// A command in a log entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
-    /// An operator's change of the configuration.
+    /// Changes the configuration for an operator.
     Change(Change),
-    /// An attempt at unrepeatable work is about to be sent.
+    /// Records an attempt at an unrepeatable request before it is sent.
     Begin(Begin),
-    /// What became of that attempt.
+    /// Records the outcome of such an attempt.
     End(End),
-    /// Work that may wait is to be kept.
+    /// Stores a request to be run asynchronously.
     Keep(Keep),
-    /// A node asks for kept work to run.
+    /// Renews a node's leases on kept work and requests a new item.
     Claim(Claim),
-    /// A node has run kept work.
+    /// Records the answer to kept work that a node has run.
     Finish(Finish),
-    /// An operator publishes a document. Former releases wrote this.
+    /// Publishes a document for an operator. Written by earlier releases only, and still read from
+    /// their logs.
     Publish(Arc<Document>),
-    /// An operator publishes a document.
+    /// Publishes a compressed document for an operator.
     PublishPacked(PackedDocument),
-    /// Asks for the published document, in its place among all commands.
+    /// Reads the version of the published document, linearizably.
     ReadDocument,
-    /// Fixes what a usage window's report says.
+    /// Fixes the counts reported for a usage window.
     Settle(Settle),
-    /// Notes which teams' levels may be low from now on.
+    /// Replaces the noted teams whose level may be below their reserve.
     NoteLow(LowTeams),
-    /// Notes how many relays there are.
+    /// Replaces the noted number of relays.
     NoteRelays(u32),
-    /// Notes what is known of engines from now on.
+    /// Replaces the noted engine models.
     NoteEngines(Models),
-    /// Notes what is known of dry spells from now on.
+    /// Replaces the noted spot outages.
     #[serde(rename = "note_spells")]
     NoteOutages(OutageHistories),
-    /// Holds requests that end their servers, or lets some through again.
+    /// Quarantines requests that crash their servers, or releases some.
     ChangeQuarantine(QuarantineChange),
-    /// Asks for the notes, in its place among all commands.
+    /// Reads the notes, linearizably.
     ReadNotes,
-    /// An operator orders a roll-out.
+    /// Orders a roll-out for an operator.
     OrderRollout(RolloutOrder),
-    /// A roll-out goes on, or back.
+    /// Advances a roll-out or rolls it back.
     StepRollout(RolloutStep),
-    /// Notes which releases were running before anybody ordered any.
+    /// Records the releases that were running before any order.
     NoteReleases(BTreeMap<ServiceName, Release>),
-    /// Asks for the releases and roll-outs, in its place among all commands.
+    /// Reads the releases and roll-outs, linearizably.
     ReadRollouts,
-    /// Drop what is older than its age allows.
+    /// Removes ledger entries and finished work that have exceeded their maximum age.
     Expire,
 }
 
@@ -94,30 +95,30 @@
     Keep(KeepReply),
     /// Answers [`Command::Claim`].
     Claim(Box<ClaimReply>),
-    /// Answers [`Command::Finish`]: whether the fence was still the owner's.
+    /// Answers [`Command::Finish`]: whether the fencing token was still the latest.
     Finish(bool),
-    /// Answers [`Command::Publish`] and [`Command::PublishPacked`]: the version held after it.
+    /// Answers [`Command::Publish`] and [`Command::PublishPacked`]: the version stored after it.
     Publish(Version),
-    /// Answers [`Command::ReadDocument`]: the version that is the newest. Its text a replica has itself.
+    /// Answers [`Command::ReadDocument`]: the newest version. Each replica has the text itself.
     Document(Version),
-    /// Answers [`Command::Settle`]: the counts that stand for the window.
+    /// Answers [`Command::Settle`]: the fixed counts of the window.
     Settle(Settle),
-    /// Answers [`Command::NoteLow`], [`Command::NoteRelays`], [`Command::NoteEngines`], [`Command::NoteOutages`] and
-    /// [`Command::ReadNotes`].
+    /// Answers [`Command::NoteLow`], [`Command::NoteRelays`], [`Command::NoteEngines`],
+    /// [`Command::NoteOutages`] and [`Command::ReadNotes`].
     Notes(Notes),
-    /// Answers [`Command::ChangeQuarantine`]: all that are held.
+    /// Answers [`Command::ChangeQuarantine`]: all quarantined requests.
     Quarantine(Arc<QuarantinedRequests>),
     /// Answers [`Command::OrderRollout`].
     OrderRollout(Box<OrderReply>),
-    /// Answers [`Command::StepRollout`]: the roll-out as it stands, where there is one.
+    /// Answers [`Command::StepRollout`]: the resulting roll-out, if the service has one.
     StepRollout(Option<Box<Rollout>>),
     /// Answers [`Command::NoteReleases`] and [`Command::ReadRollouts`].
     Rollouts(Arc<RolloutState>),
-    /// Answers [`Command::Expire`]: how many entries went.
+    /// Answers [`Command::Expire`]: how many entries were removed.
     Expire(usize),
 }
 
-/// The state machine. Serializes whole as a snapshot.
+/// The state machine. Its serialized form is the snapshot.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Machine {
     configuration: Arc<Configuration>,
@@ -151,7 +152,8 @@
             Command::Publish(document) => Reply::Publish(self.publish(document)),
             Command::PublishPacked(packed) => Reply::Publish(match packed.unpack() {
                 Ok(document) => self.publish(&Arc::new(document)),
-                // The log is checked by sums, so it was written so, and is so on every replica.
+                // Checksums protect the log, so the entry was written damaged and is so on every
+                // replica: ignoring it keeps replicas equal.
                 Err(_) => self.document.version,
             }),
             Command::ReadDocument => Reply::Document(self.document.version),
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Takes a document of a higher version than the held one; any other changes nothing.
+    /// Stores a document if its version is higher than the stored one, and returns the stored version.
     fn publish(&mut self, document: &Arc<Document>) -> Version {
         if document.version > self.document.version {
             self.document = document.clone();
@@ -210,7 +212,7 @@
         &self.rollouts
     }
 
-    /// The requests that are kept from all servers.
+    /// The quarantined requests, which are sent to no backend server.
     pub fn quarantine(&self) -> &Arc<QuarantinedRequests> {
         &self.quarantine
     }
@@ -227,23 +229,23 @@
         &self.configuration
     }
 
-    /// The ledger.
+    /// The ledger of unrepeatable requests.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// What is known of one piece of kept work.
+    /// Returns the caller's view of a kept work item.
     pub fn work(&self, id: &WorkId) -> Option<WorkView> {
         self.work.view(id)
     }
 
-    /// Whether anything is old enough for [`Command::Expire`] to drop.
+    /// Whether [`Command::Expire`] would remove anything.
     pub fn has_expired(&self, at: u64) -> bool {
         let limits = &self.configuration.limits;
         self.ledger.has_expired(at, limits.ledger_age) || self.work.has_expired(at, limits.work_age)
     }
 
-    /// Whether kept work waits to be claimed at this time.
+    /// Whether kept work can be claimed at time `at`.
     pub fn has_claimable_work(&self, at: u64) -> bool {
         self.work.has_claimable_work(at)
     }
--- a/src/state/notes.rs
+++ b/src/state/notes.rs
@@ -1,4 +1,4 @@
-//! What a leader has the group remember for the next one.
+//! Notes: what a leader stores in the group for its successor.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,29 +8,28 @@
 use crate::decide::hazard::OutageHistory;
 use crate::ids::{ServiceName, TeamName};
 
-/// Teams whose levels may be below their reserve. Noted before a level goes below it: a new leader does
-/// not know what was used before it, and takes everything of these teams to be used.
+/// Teams whose level may be below their reserve. Stored before a level falls below it: a new leader does
+/// not know earlier usage and assumes that these teams have used up everything.
 pub type LowTeams = BTreeSet<TeamName>;
 
-/// What was learned of the engines of each service, so that it outlives a loss of all power.
+/// The learned engine models of each service, stored so that they survive a loss of power on all boxes.
 pub type Models = BTreeMap<ServiceName, EngineModel>;
 
-/// What was learned of the dry spells of each service, so that a new leader is as well prepared for the
-/// next one.
+/// The spot outages observed for each service, stored so that a new leader can forecast the next one.
 pub type OutageHistories = BTreeMap<ServiceName, OutageHistory>;
 
 /// All notes.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Notes {
-    /// Teams whose levels may be low.
+    /// Teams whose level may be below their reserve.
     #[serde(rename = "low")]
     pub low_teams: LowTeams,
-    /// How many relays there are.
+    /// The number of relays.
     #[serde(default)]
     pub relays: u32,
-    /// What is known of engines.
+    /// The learned engine models.
     pub engines: Models,
-    /// What is known of dry spells.
+    /// The observed spot outages.
     #[serde(rename = "spells", default)]
     pub outages: OutageHistories,
 }
--- a/src/state/quarantine.rs
+++ b/src/state/quarantine.rs
@@ -1,5 +1,6 @@
-//! The requests that are kept from all servers, as the group holds them: they outlive a change of leader and a
-//! loss of all power.
+//! Quarantined requests, which are sent to no backend server.
+//!
+//! The group stores them, so they survive a change of leader and a loss of power on all boxes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,25 +9,25 @@
 use crate::ids::Fingerprint;
 use crate::units::UnixMillis;
 
-/// The requests, and until when each is held.
+/// The quarantined requests, and the time until which each is quarantined.
 pub type QuarantinedRequests = BTreeMap<Fingerprint, UnixMillis>;
 
-/// A change of them.
+/// A change of the quarantined requests.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuarantineChange {
-    /// Those that are held from now on.
+    /// Requests to quarantine, or whose time changes.
     pub held: QuarantinedRequests,
-    /// Those that are let through again.
+    /// Requests to release from quarantine.
     pub lifted: BTreeSet<Fingerprint>,
 }
 
 impl QuarantineChange {
-    /// Whether it changes nothing.
+    /// Whether the change is empty.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty() && self.lifted.is_empty()
     }
 
-    /// Makes the change.
+    /// Applies the change to `book`.
     pub(super) fn apply(&self, book: &mut QuarantinedRequests) {
         book.retain(|request, _| !self.lifted.contains(request));
         book.extend(&self.held);
--- a/src/state/rollout.rs
+++ b/src/state/rollout.rs
@@ -1,8 +1,8 @@
-//! Roll-outs: which release of each service is in force, and which one is being tried in its place.
+//! Roll-outs: which release of each service is in force, and which one is being rolled out.
 //!
-//! The group keeps the orders, so that whoever leads next goes on from the last step, and what an
-//! operator was told stands. A step only goes forward: from the trial to the shift of all traffic, and
-//! from there to the end, or from either back to the release that was in force.
+//! The group stores the orders, so that a new leader continues from the last step and answers given to
+//! operators stay valid. Phases only move forward: from the trial to the shift of all traffic and then
+//! to completion, or from either one to a rollback to the release that was in force.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,28 +12,28 @@
 use crate::ids::{Release, ServiceName};
 use crate::units::Millis;
 
-/// The longest time that an order may give a roll-out: a day. Beyond it, somebody took milliseconds
-/// for seconds.
+/// The longest time an order may allow for a roll-out: a day. A larger value is most likely a confusion
+/// of units, such as of milliseconds and seconds.
 pub const MAX_DURATION: Millis = Millis(24 * 3_600_000);
 
-/// An operator's order: a service's traffic is to go to a release within some time.
+/// An operator's order to move a service's traffic to a release within a given time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
     /// The service.
     pub service: ServiceName,
-    /// The release that is to serve it.
+    /// The release to roll out.
     pub release: Release,
-    /// The time for it, from the order on.
+    /// The time allowed for the roll-out, counted from the order.
     pub time: Millis,
-    /// For how long after the order the same order is taken to be sent again.
+    /// For how long after the order an equal order is treated as a repetition of it.
     pub repeats: Millis,
 }
 
 impl RolloutOrder {
-    /// Whether the order makes sense by itself.
+    /// Validates the order by itself.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// When its time is zero or exceeds [`MAX_DURATION`].
     pub fn check(&self) -> Result<(), String> {
         if self.time.0 == 0 || self.time > MAX_DURATION {
             return Err(format!("a roll-out takes from 1 ms to {MAX_DURATION}, not {}", self.time));
@@ -46,27 +46,27 @@
     }
 }
 
-/// How far a roll-out is.
+/// The phase of a roll-out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// A small part of the traffic goes to the new release.
+    /// The new release receives a small part of the traffic.
     Trial,
-    /// All traffic goes to it; the former one can still take over again.
+    /// The new release receives all traffic; the former one is still running for a rollback.
     Shift,
-    /// It is in force, and the former one is gone.
+    /// The new release is in force and the former one has been removed.
     Completed,
-    /// The former one stays in force.
+    /// The former release stays in force.
     RolledBack,
 }
 
 impl Phase {
-    /// Whether nothing follows.
+    /// Whether this is a final phase.
     pub fn is_finished(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
 
-    /// Whether a roll-out may go from here to `next`.
+    /// Whether a roll-out in this phase may move to `next`.
     fn can_move_to(self, next: Self) -> bool {
         match self {
             Self::Trial => matches!(next, Self::Shift | Self::RolledBack),
@@ -87,69 +87,69 @@
     }
 }
 
-/// A roll-out as the group knows it.
+/// A roll-out as the group stores it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rollout {
     /// The order.
     pub order: RolloutOrder,
-    /// The release that was in force before; `None` where no server had been seen yet.
+    /// The release in force before; `None` if no server of the service had been seen yet.
     pub former: Option<Release>,
     /// When it was ordered, in milliseconds since the Unix epoch by the leader's clock.
     pub ordered: u64,
-    /// How far it is.
+    /// The current phase.
     pub phase: Phase,
-    /// Requests that boxes may have been allowed to send to the new release: a leader notes them before it
-    /// allows them, so the next one knows no less.
+    /// The number of requests that boxes may have been allowed to send to the new release. A leader
+    /// stores it before it allows them, so its successor never assumes fewer.
     pub exposed: u64,
 }
 
 impl Rollout {
-    /// The step of this roll-out to a phase.
+    /// Builds the step that moves this roll-out to `phase`.
     pub fn step(&self, phase: Phase, exposed: u64) -> RolloutStep {
         RolloutStep { service: self.order.service.clone(), ordered: self.ordered, phase, exposed }
     }
 }
 
-/// A leader's step in a roll-out. One of a roll-out that has been followed by another changes nothing.
+/// A leader's step in a roll-out. It has no effect if a later roll-out has replaced that one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutStep {
     /// The service.
     pub service: ServiceName,
-    /// When the roll-out was ordered.
+    /// When the roll-out was ordered, which identifies it.
     pub ordered: u64,
-    /// The phase it goes to, or stays in.
+    /// The phase it moves to or stays in.
     pub phase: Phase,
-    /// Requests that boxes may be allowed to send to the new release from now on, in all.
+    /// The total number of requests that boxes may be allowed to send to the new release.
     pub exposed: u64,
 }
 
-/// What an order came to.
+/// The answer to a [`RolloutOrder`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderReply {
-    /// It is taken, now or before.
+    /// The order is accepted, now or earlier.
     Taken(Rollout),
-    /// Another roll-out of the service is under way.
+    /// Another roll-out of the service is in progress.
     Conflict(Rollout),
 }
 
-/// What the group knows of releases.
+/// The releases in force and the roll-outs.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutState {
-    /// The release in force of each service that was seen running.
+    /// The release in force of each service that has been seen running.
     pub in_force: BTreeMap<ServiceName, Release>,
-    /// The last roll-out of each service.
+    /// The latest roll-out of each service.
     pub rollouts: BTreeMap<ServiceName, Rollout>,
 }
 
 impl RolloutState {
-    /// The roll-outs under way.
+    /// Returns the roll-outs in progress.
     pub fn running(&self) -> impl Iterator<Item = &Rollout> {
         self.rollouts.values().filter(|rollout| !rollout.phase.is_finished())
     }
 
-    /// Takes an order at `at`, in milliseconds since the Unix epoch. An order that was taken before is
-    /// taken again and changes nothing.
+    /// Accepts an order at time `at`, in milliseconds since the Unix epoch. A repeated order is accepted
+    /// again and changes nothing.
     pub fn order(&mut self, at: u64, order: &RolloutOrder) -> OrderReply {
         if let Some(held) = self.rollouts.get(&order.service) {
             let is_same_order = held.order.is_same_order(order);
@@ -173,7 +173,7 @@
         OrderReply::Taken(rollout)
     }
 
-    /// Takes a step of a leader; the roll-out as it stands then.
+    /// Applies a leader's step and returns the resulting roll-out, if the service has one.
     pub fn step(&mut self, step: &RolloutStep) -> Option<Rollout> {
         let held = self.rollouts.get_mut(&step.service)?;
         if held.ordered == step.ordered && !held.phase.is_finished() {
@@ -188,7 +188,7 @@
         Some(held.clone())
     }
 
-    /// Notes which releases were running before anybody ordered any. The first word stands.
+    /// Records the releases that were running before any order. The first record of a service stays.
     pub fn note_running(&mut self, running: &BTreeMap<ServiceName, Release>) {
         for (service, release) in running {
             let held = self.in_force.entry(service.clone()).or_insert_with(|| release.clone());
--- a/src/state/usage.rs
+++ b/src/state/usage.rs
@@ -1,7 +1,7 @@
-//! What was reported of the teams' use, by window of time.
+//! Reported usage of teams, by time window.
 //!
-//! A window's counts are fixed here before the first report goes out, so that whoever reports it,
-//! and however often, says the same.
+//! The counts of a window are fixed here before its first report is sent, so that repeated reports of a
+//! window are identical, whichever node sends them.
 
 use std::collections::BTreeMap;
 
@@ -9,18 +9,18 @@
 
 use crate::ids::{TeamName, Window};
 
-/// Counts by window and team.
+/// Request counts by window and team.
 pub type Counts = BTreeMap<Window, BTreeMap<TeamName, u64>>;
 
-/// Windows remembered. A window is reported within a few windows of its end.
+/// The maximum number of windows kept. A window is reported within a few windows of its end.
 const MAX_WINDOWS: usize = 64;
 
-/// A window's counts.
+/// Fixes the counts of a window.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settle {
     /// The window.
     pub window: Window,
-    /// Requests that began to run in it, by team.
+    /// Requests that started in the window, by team.
     pub counts: BTreeMap<TeamName, u64>,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl UsageWindows {
-    /// Fixes a window's counts; the first that come stand, and are answered.
+    /// Fixes the counts of a window unless they are fixed already, and returns the fixed counts.
     pub fn settle(&mut self, settle: &Settle) -> Settle {
         let counts = self.settled.entry(settle.window).or_insert_with(|| settle.counts.clone());
         let settled = Settle { window: settle.window, counts: counts.clone() };
--- a/src/state/work.rs
+++ b/src/state/work.rs
@@ -1,5 +1,7 @@
-//! Kept work: requests whose callers may wait. Durable before the caller is told so, run by one
-//! owner at a time under a lease with a fence, fetched from any node.
+//! Kept work: requests that are stored and run asynchronously.
+//!
+//! A request is durable before its caller is told that it was accepted. One owner at a time runs it,
+//! under a lease with a fencing token, and the result can be fetched from any node.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,22 +13,22 @@
 use crate::ids::{Fence, NameError, RequestKey, TeamName};
 use crate::units::Millis;
 
-/// Pieces of work held at most.
+/// The maximum number of work items.
 pub const MAX_ITEMS: usize = 20_000;
 
-/// Bytes of bodies and answers held at most.
+/// The maximum total size of request bodies, in bytes; answers count towards it, but are never refused.
 pub const MAX_TOTAL_BYTES: usize = 64 << 20;
 
-/// How long an owner may run a piece of work before another may take it over.
+/// How long an owner's lease lasts. Unless it is renewed, another owner may take the item over.
 pub const LEASE_TIME: Millis = Millis(10_000);
 
-/// A piece of kept work.
+/// The ID of a work item, in hexadecimal.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WorkId(String);
 
 impl WorkId {
-    /// The id of a team's request: the same key gives the same id.
+    /// Derives the ID of a team's request; the same key gives the same ID.
     pub fn of(team: &TeamName, key: &RequestKey) -> Self {
         let text = format!("{team}\n{key}");
         Self(super::config::hex_digest(text.as_bytes())[..32].to_owned())
@@ -51,22 +53,22 @@
     }
 }
 
-/// The request as it is to be run.
+/// A request to run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptRequest {
-    /// Whose it is.
+    /// The team that sent it.
     pub team: TeamName,
-    /// The caller's key for it.
+    /// The idempotency key of the caller.
     pub key: RequestKey,
-    /// The path it came on.
+    /// The request path.
     pub path: String,
-    /// Its body.
+    /// The request body.
     pub body: String,
     /// Whether it may run more than once.
     pub repeatable: bool,
 }
 
-/// Asks for work to be kept.
+/// Stores a request to be run asynchronously.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Keep {
     /// The request.
@@ -77,62 +79,62 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeepReply {
-    /// Kept, or kept before; fetch it under this id.
+    /// Stored, now or earlier; the result is fetched by this ID.
     Kept(WorkId),
-    /// The key came with another body.
+    /// The key was used before for another path or body.
     Conflict,
-    /// No room.
+    /// The store is full.
     Full,
 }
 
-/// Asks for work to run.
+/// Renews an owner's leases and requests a new item.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Who asks. Renews the owner's leases on `held` as well.
+    /// The owner. Its leases on `held` are renewed.
     pub owner: Owner,
-    /// Work the owner still runs, with its fences.
+    /// Items that the owner still runs, with their fencing tokens.
     pub held: Vec<(WorkId, Fence)>,
-    /// Whether a new piece is wanted.
+    /// Whether the owner can run one more item.
     pub wants: bool,
 }
 
 /// The answer to [`Claim`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimReply {
-    /// The piece to run, if one was free.
+    /// The item to run, if one was available.
     pub granted: Option<Granted>,
-    /// Of the held ones, those another owner has taken over: stop them.
+    /// Items in `held` that the owner no longer owns and must stop running.
     pub lost: Vec<WorkId>,
 }
 
-/// A piece of work handed to an owner.
+/// A work item leased to an owner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Granted {
-    /// Which.
+    /// The ID of the item.
     pub id: WorkId,
-    /// The number that finishing must carry.
+    /// The fencing token that [`Finish`] must carry.
     pub fence: Fence,
     /// The request.
     pub request: KeptRequest,
 }
 
-/// The end of a piece of work.
+/// Reports that a work item is finished.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Finish {
-    /// Which.
+    /// The ID of the item.
     pub id: WorkId,
-    /// The owner's number.
+    /// The fencing token of the owner.
     pub fence: Fence,
     /// The answer.
     pub answer: RecordedAnswer,
 }
 
-/// What a caller may see of its work.
+/// The part of a work item that its caller may see.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkView {
-    /// Whose it is.
+    /// The team that owns it.
     pub team: TeamName,
-    /// The answer, once there is one.
+    /// The answer, once the item is finished.
     pub answer: Option<RecordedAnswer>,
 }
 
@@ -171,7 +173,7 @@
     }
 }
 
-/// All kept work.
+/// The store of work items.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WorkStore {
     items: BTreeMap<WorkId, Item>,
@@ -179,7 +181,7 @@
 }
 
 impl WorkStore {
-    /// Keeps a request; the same key and body again is kept once.
+    /// Stores a request. The same key with the same path and body is stored once.
     pub fn keep(&mut self, at: u64, keep: &Keep) -> KeepReply {
         let id = WorkId::of(&keep.request.team, &keep.request.key);
         if let Some(held) = self.items.get(&id) {
@@ -198,7 +200,7 @@
         KeepReply::Kept(id)
     }
 
-    /// Renews the owner's leases and hands out the oldest free piece.
+    /// Renews the owner's leases and leases it the oldest available item, if it wants one.
     pub fn claim(&mut self, at: u64, claim: &Claim) -> ClaimReply {
         let until = at + LEASE_TIME.0;
         let mut lost = Vec::new();
@@ -224,7 +226,7 @@
         Some(Granted { id: id.clone(), fence: item.fence, request })
     }
 
-    /// Records the answer if the fence is the latest; `false` otherwise.
+    /// Records the answer if the fencing token is the latest; returns `false` otherwise.
     pub fn finish(&mut self, at: u64, finish: &Finish) -> bool {
         let Some(item) = self.items.get_mut(&finish.id) else {
             return false;
@@ -240,7 +242,7 @@
         true
     }
 
-    /// What is known of a piece of work.
+    /// Returns the caller's view of an item.
     pub fn view(&self, id: &WorkId) -> Option<WorkView> {
         let item = self.items.get(id)?;
         let answer = match &item.stage {
@@ -250,7 +252,7 @@
         Some(WorkView { team: item.request.team.clone(), answer })
     }
 
-    /// Drops finished work older than `age`. Unfinished work stays.
+    /// Removes items finished longer than `age` ago and returns how many. Unfinished items stay.
     pub fn expire(&mut self, at: u64, age: Millis) -> usize {
         let before = self.items.len();
         self.items.retain(|_, item| !Self::is_expired(item, at, age));
@@ -258,12 +260,12 @@
         before - self.items.len()
     }
 
-    /// Whether [`WorkStore::expire`] would drop anything.
+    /// Whether [`WorkStore::expire`] would remove anything.
     pub fn has_expired(&self, at: u64, age: Millis) -> bool {
         self.items.values().any(|item| Self::is_expired(item, at, age))
     }
 
-    /// Whether a piece is free to be claimed.
+    /// Whether an item can be claimed: it waits, or its lease has expired.
     pub fn has_claimable_work(&self, at: u64) -> bool {
         self.items.values().any(|item| item.is_claimable(at))
     }
@@ -273,7 +275,7 @@
     }
 }
 
-/// Writes a map whose keys are not text as a list of pairs.
+/// Serializes a map as a list of pairs, for keys that are not strings.
 pub(crate) mod pairs {
     use std::collections::BTreeMap;
 
