--- a/src/state/difference.rs
+++ b/src/state/difference.rs
@@ -39,13 +39,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DifferenceError {
     /// The packed difference cannot be decoded.
-    #[error("the difference can't be read")]
+    #[error("the difference cannot be decoded")]
     Unreadable,
     /// A range exceeds the former text, or the result exceeds [`MAX_TEXT_LEN`].
-    #[error("the difference is out of bounds")]
+    #[error("the difference exceeds the former text or the size limit")]
     OutOfBounds,
     /// The result does not have the expected digest, or is not UTF-8.
-    #[error("the text that comes out has another hash")]
+    #[error("the resulting text does not match its digest")]
     DigestMismatch,
 }
 
@@ -124,7 +124,7 @@
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::default());
         let steps = postcard::to_allocvec(&self.steps).expect("steps always encode");
         let written = encoder.write_all(&steps).and_then(|()| encoder.finish());
-        written.expect("memory takes all that is written")
+        written.expect("writing to a Vec does not fail")
     }
 
     /// Decompresses and decodes a difference.
