--- a/src/decide/hazard.rs
+++ b/src/decide/hazard.rs
@@ -6,7 +6,7 @@
 //! pooled prior, as outages are rare and each gives few observations per number. Follow-up losses come soon
 //! after the first or hardly at all, so rates are also kept per phase of the time since the last loss.
 //!
-//! The result is an [`LossForecast`]: how many data centres may be lost by the time an engine ordered now
+//! The result is a [`LossForecast`]: how many data centres may be lost by the time an engine ordered now
 //! would serve. From it, [`super::capacity`] computes how many on-demand engines to hold in reserve, and for
 //! how long.
 //!
--- a/src/relay/list.rs
+++ b/src/relay/list.rs
@@ -114,8 +114,10 @@
     /// The data centre.
     pub data_centre: DataCentre,
     /// Length of the hash prefix in bits, the same for all parts of this service and data centre.
+    #[serde(rename = "bits")]
     pub prefix_bits: u32,
     /// The hash prefix.
+    #[serde(rename = "place")]
     pub prefix: u64,
 }
 
