--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! An accepted change is in force everywhere and never reverts, whatever dies, is cut off or races.
+//! An accepted configuration change takes effect on all boxes and is never reverted, also when boxes are
+//! killed, partitioned or frozen, or when operators race.
 
 mod support;
 
@@ -39,8 +40,8 @@
     Command::Change(Change { id, expect: None, edits: vec![Edit::PutTeam(name, team)] })
 }
 
-/// Makes many changes at the leader, many at a time.
-async fn make_changes(cluster: &Cluster, range: std::ops::Range<u64>) {
+/// Proposes a change for each number at the leader, 100 concurrently.
+async fn propose_changes(cluster: &Cluster, range: std::ops::Range<u64>) {
     let leader = cluster.leader().await;
     let addr = cluster.boxes[&leader].peer.addr;
     let peers = Peers::new("test-secret");
@@ -85,10 +86,10 @@
             assert_eq!(output.status.code(), Some(3));
             assert_eq!(answer["answer"]["conflict"]["winner"], winners[0]["id"]);
         }
-        // Resent after a lost answer, the winner gets its first answer again.
+        // The accepted change, sent again as after a lost answer, gets its first answer.
         let winner = winners[0]["id"].as_str().unwrap();
-        let place = ids.iter().position(|id| id == winner).unwrap();
-        let again = cluster.try_apply(&texts[place], &extras[place]).await;
+        let index = ids.iter().position(|id| id == winner).unwrap();
+        let again = cluster.try_apply(&texts[index], &extras[index]).await;
         assert_eq!(json(&again)["answer"]["accepted"], round + 1);
     }
 }
@@ -97,16 +98,16 @@
 async fn leader_killed_between_changes_loses_none() {
     let mut cluster = Cluster::start(&replicas(&["a", "b", "c"])).await;
     cluster.apply(&base_change(&[])).await;
-    let mut made = 1;
+    let mut revision = 1;
     for round in 0..3 {
         let leader = cluster.leader().await;
         cluster.kill(&leader).await;
         let change = format!("[team t{round}]\nkey = key{round}\n");
         let answer = cluster.apply(&change).await;
-        made += 1;
-        assert_eq!(answer["answer"]["accepted"], made);
+        revision += 1;
+        assert_eq!(answer["answer"]["accepted"], revision);
         cluster.launch(&leader).await;
-        cluster.wait_revision(&leader, made).await;
+        cluster.wait_revision(&leader, revision).await;
     }
     let get = cluster.operator(&["get"], &cluster.replicas()).await;
     let teams = json(&get)["teams"].as_object().unwrap().len();
@@ -116,7 +117,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn restarted_boxes_never_serve_an_older_configuration() {
     let (_engine, addr) = Engine::start(Options::default()).await.unwrap();
-    // Even where an old configuration may be served, one that was never confirmed may not.
+    // `on_stale = serve` allows serving a stale configuration, but not one that was never confirmed since
+    // the start.
     let mut plans = replicas(&["a", "b", "c"]);
     plans.push(BoxPlan::diskless("d"));
     let plans: Vec<_> = plans.into_iter().map(|it| it.extra("on_stale = serve\n")).collect();
@@ -126,7 +128,7 @@
         cluster.wait_revision(name, 1).await;
         cluster.kill(name).await;
     }
-    // While they are away the engine is taken out; whoever still uses it has reverted.
+    // The engine is removed while they are down, so a box that still uses it serves the old revision.
     cluster.apply("[remove backend_server e1]\n").await;
     for name in ["a", "d"] {
         cluster.launch(name).await;
@@ -192,8 +194,8 @@
     cluster.wait_revision("d", 1).await;
     assert_eq!(cluster.complete("d", &[], &prompt("x", 2, false)).await.status, 200);
     cluster.signal("d", "STOP");
-    // The freeze outlasts the lease: that is the fault itself, nothing is awaited by it. The answer to
-    // the question the box had asked comes before the change, and waits for it unread.
+    // The sleep is the fault under test: the freeze outlasts the lease. The answer to the box's pending
+    // poll was sent before the change, so the box reads an outdated answer when it continues.
     tokio::time::sleep(lease).await;
     cluster.apply("[remove backend_server e1]\n").await;
     let entry = cluster.entry("d");
@@ -220,7 +222,7 @@
         cluster.apply(&change).await;
         accepted += 1;
         cluster.launch(lost).await;
-        // Until it is replaced the emptied disk does not count and must not vote.
+        // Until the member is replaced, a box with an empty disk is not part of the group and must not vote.
         let status = cluster.status(lost).await;
         assert_eq!(status["group"]["formed"], false, "{status}");
         let removed = cluster.operator(&["members", "remove", lost], &cluster.replicas()).await;
@@ -229,7 +231,7 @@
         let added = cluster.operator(&["members", "add", &addr], &cluster.replicas()).await;
         assert!(added.status.success(), "{added:?}");
     }
-    // Two more go at once; the two repaired ones are part of the majority that is left.
+    // Two more are killed at once; the two repaired boxes are part of the remaining majority.
     let others: Vec<_> =
         cluster.replicas().into_iter().filter(|name| *name != first && *name != second).collect();
     for name in &others[..2] {
@@ -252,10 +254,10 @@
         cluster.lose_disk(name);
         cluster.launch(name).await;
     }
-    // One of three is left that remembers: it must not go on, nor may a new group be formed of them.
+    // Only one of three still has the state: it must not accept changes, and no new group may be formed.
     let formed = cluster.operator(&["form"], &cluster.replicas()).await;
     assert_eq!(formed.status.code(), Some(3), "{formed:?}");
-    wait_for("the last one to lose its leader", || async {
+    wait_for("the last member to lose its leader", || async {
         let status = cluster.status("c").await;
         (status["group"]["role"] != "leader" && status["group"]["leader"].is_null()).then_some(())
     })
@@ -272,7 +274,7 @@
     let leader = cluster.leader().await;
     let away = cluster.replicas().into_iter().find(|name| *name != leader).unwrap();
     cluster.kill(&away).await;
-    make_changes(&cluster, 0..700).await;
+    propose_changes(&cluster, 0..700).await;
     cluster.launch(&away).await;
     cluster.wait_revision(&away, 701).await;
 }
@@ -288,20 +290,21 @@
     for name in [away.as_str(), "d"] {
         cluster.kill(name).await;
     }
-    make_changes(&cluster, 0..9_000).await;
+    propose_changes(&cluster, 0..9_000).await;
     let leader = cluster.leader().await;
     cluster.boxes[&leader].log.wait_from(0, &["event=log_compacted"]).await;
     for name in [away.as_str(), "d"] {
         cluster.launch(name).await;
         cluster.wait_revision(name, 9_001).await;
     }
-    // And a restart from a snapshot and the log behind it.
+    // The former leader restarts from a snapshot and the log entries after it.
     cluster.kill(&leader).await;
     cluster.launch(&leader).await;
     cluster.wait_revision(&leader, 9_001).await;
 }
 
-/// After a crash the database looks for rot itself; after an orderly stop only our checksums do.
+/// After a crash the database verifies its own file; after an orderly stop only emberturn's checksums
+/// detect corruption.
 #[parameterized(
     after_a_crash = { false },
     after_an_orderly_stop = { true },
@@ -321,13 +324,14 @@
     }
     let file = cluster.boxes[&victim].folder.join("data/group-0.redb");
     let mut bytes = std::fs::read(&file).unwrap();
-    // Every copy of the team's name: the log's entry is among them.
+    // Corrupts every copy of the team's name, which includes the one in the log entry.
     let needle = b"portal";
-    let places: Vec<_> =
-        (0..bytes.len() - needle.len()).filter(|at| bytes[*at..].starts_with(needle)).collect();
-    assert!(!places.is_empty());
-    for at in places {
-        bytes[at] ^= 0x20;
+    let offsets: Vec<_> = (0..bytes.len() - needle.len())
+        .filter(|offset| bytes[*offset..].starts_with(needle))
+        .collect();
+    assert!(!offsets.is_empty());
+    for offset in offsets {
+        bytes[offset] ^= 0x20;
     }
     std::fs::write(&file, bytes).unwrap();
     let running = tokio::process::Command::new(env!("CARGO_BIN_EXE_emberturn"))
@@ -340,7 +344,7 @@
     assert_eq!(output.status.code(), Some(1));
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(text.contains("group-0.redb") && text.contains("corrupt"), "{text}");
-    // The others go on.
+    // The other members still accept changes.
     cluster.apply(&backend_section("e9", "small", "127.0.0.1:9".parse().unwrap())).await;
 }
 
--- a/tests/difference.rs
+++ b/tests/difference.rs
@@ -1,7 +1,8 @@
-//! Differences of texts: what comes out is the other text to the byte, or nothing, and a small change is small.
+//! Differences between texts: applying one yields exactly the other text or an error, and a small change
+//! gives a small difference.
 
 #[path = "support/platform.rs"]
-#[allow(dead_code, reason = "each test takes what it needs")]
+#[allow(dead_code, reason = "each test uses a part of the module")]
 mod platform;
 
 use emberturn::state::difference::{Difference, DifferenceError, Digest};
@@ -9,15 +10,16 @@
 use proptest::prelude::*;
 use serde_json::Value;
 
-/// A document of so many routes, each with a name that tells nothing of the others.
+/// Builds a document with a route for each number. Route names are pseudorandom, so that one does not
+/// compress well against another.
 fn with_routes(version: u64, numbers: impl Iterator<Item = u64>) -> Value {
     let name = |number: u64| format!("r{:016x}", number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let routes: Vec<_> = numbers.map(|number| route(&name(number), "safe", 2)).collect();
     document(version, &routes)
 }
 
-/// Bytes that go from one document to another, which must come out whole.
-fn cost(former: &Value, next: &Value) -> usize {
+/// Returns the size in bytes of the packed difference, after checking that it reproduces `next`.
+fn packed_len(former: &Value, next: &Value) -> usize {
     let (former, next) = (former.to_string(), next.to_string());
     let packed = Difference::between(&former, &next).pack();
     let applied = Difference::unpack(&packed).unwrap().apply(&former, Digest::of(&next));
@@ -25,14 +27,15 @@
     packed.len()
 }
 
-/// The aim: a change of one route costs the same at 10 and at 5,000 routes, within a factor of 1.5.
+/// The difference for a change of one route must not grow with the document: at 5,000 routes it takes at
+/// most 1.5 times the bytes that it takes at 10.
 #[test]
 fn change_of_one_route_costs_the_same_however_large_the_document() {
     let changed = |count: u64| {
         let former = with_routes(9, 1..=count);
         let mut next = with_routes(10, 1..=count);
         next["routes"][count as usize / 2]["timeout_ms"] = 8_500.into();
-        cost(&former, &next)
+        packed_len(&former, &next)
     };
     let (few, many) = (changed(10), changed(5_000));
     println!("{few} bytes at 10 routes, {many} at 5,000");
@@ -43,11 +46,11 @@
 fn routes_added_dropped_and_moved_cost_about_themselves() {
     let former = with_routes(9, 1..=4_000);
     let whole = former.to_string().len();
-    let one = cost(&former, &with_routes(10, 1..=4_001));
-    let dropped = cost(&former, &with_routes(10, (1..=4_000).filter(|it| it % 500 != 0)));
+    let one = packed_len(&former, &with_routes(10, 1..=4_001));
+    let dropped = packed_len(&former, &with_routes(10, (1..=4_000).filter(|it| it % 500 != 0)));
     let added =
-        cost(&former, &with_routes(10, (1..=2_000).chain(9_000..9_010).chain(2_001..=4_000)));
-    let all = cost(&Value::Null, &former);
+        packed_len(&former, &with_routes(10, (1..=2_000).chain(9_000..9_010).chain(2_001..=4_000)));
+    let all = packed_len(&Value::Null, &former);
     println!("one route {one}, drops {dropped}, ten routes {added}, all {all} bytes of {whole}");
     assert!(one < 500 && dropped < 1_000 && added < 2_000, "{one}, {dropped}, {added} of {whole}");
     assert!(all < whole / 8, "{all} for all of {whole}");
@@ -68,15 +71,15 @@
 }
 
 proptest! {
-    /// Texts of few signs, so that blocks recur in many places.
+    /// Uses texts of few distinct characters, so that blocks recur at many offsets.
     #[test]
     fn any_text_comes_out_of_any_other(
         parts in proptest::collection::vec("[ab\u{e9}]{0,48}", 1..12),
         former in proptest::collection::vec(0_usize..12, 0..24),
         next in proptest::collection::vec(0_usize..12, 0..24),
     ) {
-        let text = |places: &[usize]| -> String {
-            places.iter().map(|place| parts[place % parts.len()].as_str()).collect()
+        let text = |indices: &[usize]| -> String {
+            indices.iter().map(|index| parts[index % parts.len()].as_str()).collect()
         };
         let (former, next) = (text(&former), text(&next));
         let packed = Difference::between(&former, &next).pack();
@@ -84,15 +87,15 @@
         prop_assert_eq!(applied, Ok(next));
     }
 
-    /// Damaged bytes give the text that was meant, or none.
+    /// A damaged difference yields the intended text or an error, never another text.
     #[test]
     fn damage_never_gives_another_text(
-        place in 0_usize..400, mask in 1_u8..,
+        offset in 0_usize..400, mask in 1_u8..,
     ) {
         let (former, next) = (with_routes(1, 1..=6).to_string(), with_routes(2, 2..=9).to_string());
         let mut packed = Difference::between(&former, &next).pack();
-        let place = place % packed.len();
-        packed[place] ^= mask;
+        let offset = offset % packed.len();
+        packed[offset] ^= mask;
         let applied = Difference::unpack(&packed).and_then(|it| it.apply(&former, Digest::of(&next)));
         prop_assert!(applied.is_err() || applied == Ok(next));
     }
--- a/tests/kept_work.rs
+++ b/tests/kept_work.rs
@@ -1,4 +1,5 @@
-//! Work that may wait is durable before the caller is told so, and is run by one owner at a time.
+//! Kept work: a request is durable before its caller is told that it was accepted, and one owner at a
+//! time runs it.
 
 mod support;
 
@@ -11,20 +12,20 @@
 use serde_json::json;
 use support::{BoxPlan, Cluster, KEY, base_change, call, prompt, wait_for};
 
-async fn fetch(cluster: &Cluster, name: &str, place: &str) -> Answer {
+async fn fetch(cluster: &Cluster, name: &str, path: &str) -> Answer {
     let bearer = format!("Bearer {KEY}");
-    http::call(cluster.entry(name), http::get(place, &[("authorization", &bearer)])).await.unwrap()
+    http::call(cluster.entry(name), http::get(path, &[("authorization", &bearer)])).await.unwrap()
 }
 
-async fn wait_answer(cluster: &Cluster, name: &str, place: &str) -> Answer {
+async fn wait_answer(cluster: &Cluster, name: &str, path: &str) -> Answer {
     wait_for("kept work to be answered", || async {
-        let answer = fetch(cluster, name, place).await;
+        let answer = fetch(cluster, name, path).await;
         (answer.status != 202 && answer.status != 503 && answer.status != 504).then_some(answer)
     })
     .await
 }
 
-const WAIT: (&str, &str) = ("prefer", "respond-async");
+const RESPOND_ASYNC: (&str, &str) = ("prefer", "respond-async");
 
 #[tokio::test(flavor = "multi_thread")]
 async fn kept_work_is_fetched_from_any_node_and_the_same_key_is_kept_once() {
@@ -35,17 +36,17 @@
     for name in names {
         cluster.wait_revision(name, 1).await;
     }
-    let headers = [WAIT, ("idempotency-key", "summary-1")];
+    let headers = [RESPOND_ASYNC, ("idempotency-key", "summary-1")];
     let body = prompt("fault history", 32, false);
-    let mut places = Vec::new();
+    let mut paths = Vec::new();
     for name in names {
         let answer = cluster.complete(name, &headers, &body).await;
         assert_eq!(answer.status, 202, "{}", answer.text());
-        places.push(answer.header("location").to_owned());
+        paths.push(answer.header("location").to_owned());
     }
-    assert!(places.iter().all(|place| *place == places[0]));
+    assert!(paths.iter().all(|path| *path == paths[0]));
     for name in names {
-        let answer = wait_answer(&cluster, name, &places[0]).await;
+        let answer = wait_answer(&cluster, name, &paths[0]).await;
         assert_eq!(answer.json()["choices"][0]["text"], tokens::answer("fault history", 32));
     }
     assert_eq!(engine.runs().len(), 1);
@@ -59,10 +60,10 @@
 async fn kept_work_survives_the_loss_of_everything_but_the_disks() {
     let (_engine, addr) = Engine::start(Options::default()).await.unwrap();
     let mut cluster = Cluster::start(&["a", "b", "c"].map(BoxPlan::replica)).await;
-    // No engine yet: the work waits.
+    // Without a backend server the work stays queued.
     cluster.apply(&base_change(&[])).await;
     cluster.wait_revision("a", 1).await;
-    let kept = cluster.complete("a", &[WAIT], &prompt("fault history", 32, false)).await;
+    let kept = cluster.complete("a", &[RESPOND_ASYNC], &prompt("fault history", 32, false)).await;
     assert_eq!(kept.status, 202, "{}", kept.text());
     for name in ["a", "b", "c"] {
         cluster.kill(name).await;
@@ -75,7 +76,7 @@
     assert_eq!(answer.json()["choices"][0]["text"], tokens::answer("fault history", 32));
 }
 
-/// The box that runs the one piece of kept work: the one whose engine stream or call is under way.
+/// Waits for the box that runs the only work item: the one with a request in flight to a backend server.
 async fn owner(cluster: &Cluster) -> String {
     wait_for("an owner", || async {
         for name in ["a", "b", "c"] {
@@ -97,7 +98,7 @@
     let mut cluster = Cluster::start(&["a", "b", "c"].map(BoxPlan::replica)).await;
     cluster.apply(&base_change(&[("e1", "small", addr)])).await;
     cluster.wait_revision("a", 1).await;
-    let kept = cluster.complete("a", &[WAIT], &prompt("fault history", 150, false)).await;
+    let kept = cluster.complete("a", &[RESPOND_ASYNC], &prompt("fault history", 150, false)).await;
     wait_for("the engine to generate", || async { (engine.counters().decoded > 0).then_some(()) })
         .await;
     let owner = owner(&cluster).await;
@@ -115,10 +116,12 @@
     let mut cluster = Cluster::start(&["a", "b", "c"].map(BoxPlan::replica)).await;
     cluster.apply(&base_change(&[("d1", "desk", addr)])).await;
     cluster.wait_revision("a", 1).await;
-    let kept = call(cluster.entry("a"), "/services/desk/file", &[WAIT], &json!({ "n": 1 })).await;
+    let kept =
+        call(cluster.entry("a"), "/services/desk/file", &[RESPOND_ASYNC], &json!({ "n": 1 })).await;
     let kept = kept.unwrap();
     assert_eq!(kept.status, 202, "{}", kept.text());
-    // The owner dies after the call has run, not between the ledger and the call.
+    // Waits for the call to reach the server, so that the owner is not killed between the ledger entry
+    // and the call.
     wait_for("the call to run", || async { (service.journal().len() == 1).then_some(()) }).await;
     let owner = owner(&cluster).await;
     cluster.kill(&owner).await;
--- a/tests/unrepeatable.rs
+++ b/tests/unrepeatable.rs
@@ -1,4 +1,4 @@
-//! Work that must not repeat runs at most once, whatever dies.
+//! Unrepeatable requests run at most once, also when entry boxes or the leader are killed.
 
 mod support;
 
@@ -20,7 +20,7 @@
     (service, cluster)
 }
 
-fn count(service: &Service) -> BTreeMap<String, usize> {
+fn runs_by_body(service: &Service) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for body in service.journal() {
         *counts.entry(body).or_default() += 1;
@@ -50,7 +50,7 @@
         assert!(!done.is_empty());
         assert!(done.iter().all(|text| *text == done[0]), "{done:?}");
     }
-    assert!(count(&service).values().all(|runs| *runs == 1), "{:?}", count(&service));
+    assert!(runs_by_body(&service).values().all(|runs| *runs == 1), "{:?}", runs_by_body(&service));
     assert_eq!(service.journal().len(), 10);
 }
 
@@ -88,8 +88,8 @@
     cluster.kill("a").await;
     assert!(asking.await.unwrap().is_err());
     service.release();
-    // As soon as the other nodes know the box is gone, they say that nothing is known; before that,
-    // that it is under way. It never runs again.
+    // The other nodes answer `in_progress` until they know that the box is gone, and `outcome_unknown`
+    // afterwards. The request never runs again.
     wait_for("the outcome to be called unknown", || async {
         let answer =
             call(cluster.entry("b"), "/services/desk/file", &headers, &body).await.unwrap();
@@ -113,25 +113,25 @@
             let key = format!("key-{number}");
             let headers = [("idempotency-key", key.as_str())];
             let body = json!({ "number": number });
-            let mut told = Vec::new();
-            for turn in 0..200 {
-                let entry = entries[(number + turn) % 2];
+            let mut run_headers = Vec::new();
+            for attempt in 0..200 {
+                let entry = entries[(number + attempt) % 2];
                 let answer = call(entry, "/services/desk/post", &headers, &body).await.unwrap();
-                told.push(answer.header("emberturn-run").to_owned());
+                run_headers.push(answer.header("emberturn-run").to_owned());
                 if answer.status == 200 {
                     break;
                 }
             }
-            (body.to_string(), told)
+            (body.to_string(), run_headers)
         }));
         if number == 30 {
             cluster.kill(&leader).await;
         }
     }
     for task in tasks {
-        let (body, told) = task.await.unwrap();
-        assert_eq!(told.last().map(String::as_str), Some("done"), "{body}: {told:?}");
-        assert_eq!(count(&service)[&body], 1, "{body}: {told:?}");
+        let (body, run_headers) = task.await.unwrap();
+        assert_eq!(run_headers.last().map(String::as_str), Some("done"), "{body}: {run_headers:?}");
+        assert_eq!(runs_by_body(&service)[&body], 1, "{body}: {run_headers:?}");
     }
 }
 
