--- a/src/control/boxlist.rs
+++ b/src/control/boxlist.rs
@@ -1,4 +1,4 @@
-//! Follows the platform's box list: which backend servers leave, and whether this box does.
+//! Polls the platform's box list for backend servers that are about to stop, and for whether this box is.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 use crate::member::spread::word;
 use crate::node::Node;
 
-/// How long the platform may take.
-const ANSWER_TIME: Duration = Duration::from_millis(2_000);
+/// Timeout for a request to the platform.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Looks at the list until the task is dropped.
+/// Polls the list until the task is dropped. Does nothing without a platform in the settings.
 pub(crate) async fn run(node: Arc<Node>) {
     let Some(settings) = node.settings.platform.clone() else {
         return;
@@ -18,10 +18,10 @@
     let mut timer = tokio::time::interval(settings.poll.duration());
     loop {
         timer.tick().await;
-        match boxlist::list(&node.pool, settings.addr, ANSWER_TIME).await {
+        match boxlist::list(&node.pool, settings.addr, REPLY_TIMEOUT).await {
             Ok(list) => {
                 for (name, listed) in list {
-                    take(&node, &name, &listed);
+                    apply_listed(&node, &name, &listed);
                 }
             }
             Err(error) => tracing::warn!(event = "box_list_failed", %error),
@@ -29,7 +29,8 @@
     }
 }
 
-fn take(node: &Arc<Node>, name: &str, listed: &ListedBox) {
+/// Applies one entry of the list: stops this box in time if it is to leave, and passes on the state of backend servers.
+fn apply_listed(node: &Arc<Node>, name: &str, listed: &ListedBox) {
     let left = match listed.state {
         ListedState::Live => None,
         ListedState::Leaving => Some(Duration::from_millis(listed.notice_ms)),
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,17 +1,20 @@
-//! The controllers that run beside the request path: each reads and writes the blackboard.
+//! Background tasks that run beside the request path and communicate with it through the blackboard.
 //!
-//! - [`heartbeat`] is a relay's word to the leader; [`lead`] is what the leader makes of it,
-//!   [`duties`] what it does towards the platform. [`publish`] is what operators ask of the published document.
-//! - [`demand`] asks the leader for what the teams of waiting requests may use.
-//! - [`document_fetch`] gets a box the published document, [`document_source`] is what replicas give of it.
-//! - [`fetch`] gets a relay its parts of the list of backend servers.
-//! - [`models`] is what of engines is news to relays.
-//! - [`rollouts`] is what operators ask of roll-outs, and how the leader carries them on.
-//! - [`load`] asks engines for their load.
-//! - [`boxlist`] follows the platform's box list.
+//! - [`heartbeat`] sends a relay's heartbeats to the leader, and [`lead`] holds the leader's state and answers them.
+//! - [`duties`] runs the leader's tasks towards the platform, and [`notes`] stores what its successor has to know.
+//! - [`spend`] decides which engines the leader orders.
+//! - [`publish`] handles operators' changes to the published document.
+//! - [`demand`] requests tokens from the leader for teams whose requests wait.
+//! - [`document_fetch`] fetches the published document for a box, and [`document_source`] serves it from replicas.
+//! - [`fetch`] fetches a relay's parts of the list of backend servers.
+//! - [`models`] builds the updates of the engine models for relays.
+//! - [`quarantine`] handles operators' requests on quarantined requests.
+//! - [`rollouts`] handles operators' requests on rollouts, and advances the rollouts at the leader.
+//! - [`load`] polls engines for their load.
+//! - [`boxlist`] polls the platform's box list.
 //! - [`share`] renews this node's shares of the teams' limits, and leases them out at the leader.
 //! - [`throttle`] reports the limits that backend servers name, and leases shares of them.
-//! - [`work`] runs kept work.
+//! - [`work`] runs stored requests whose callers do not wait.
 
 pub(crate) mod boxlist;
 pub(crate) mod demand;
@@ -38,10 +41,10 @@
 use crate::node::Node;
 use crate::settings::Role;
 
-/// Time between two looks at the queues.
-const WAKE_TIME: Duration = Duration::from_millis(25);
+/// Time between two checks of the queues.
+const WAKE_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Starts every controller of a node.
+/// Starts the background tasks that the settings of the node ask for.
 pub(crate) fn start(node: &Arc<Node>) {
     if node.settings.platform.is_some() {
         tokio::spawn(boxlist::run(node.clone()));
@@ -60,9 +63,10 @@
     }
 }
 
-/// Load reports and configuration changes make room without a request ending: look regularly.
+/// Wakes the queued requests regularly: load reports and configuration changes can free capacity without any request
+/// ending.
 async fn wake_waiters(node: Arc<Node>) {
-    let mut timer = tokio::time::interval(WAKE_TIME);
+    let mut timer = tokio::time::interval(WAKE_INTERVAL);
     loop {
         timer.tick().await;
         node.dispatch.wake_all();
--- a/src/control/work.rs
+++ b/src/control/work.rs
@@ -1,5 +1,5 @@
-//! Runs kept work: claims it under a lease with a fence, runs it behind everything interactive, and
-//! records its answer.
+//! Runs stored requests whose callers do not wait for the response: claims them under a lease with a fencing token,
+//! runs them at a lower priority than interactive requests, and stores their responses.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,63 +19,68 @@
 use crate::state::work::{Claim, ClaimReply, Finish, Granted, WorkId};
 use crate::state::{Command, Reply};
 
-/// Pieces a node runs at the same time.
-const RUN_LIMIT: usize = 4;
+/// Maximum number of stored requests that a node runs at the same time.
+const MAX_RUNNING: usize = 4;
 
-/// Time between two looks for work, give or take a half.
-const LOOK_TIME: Duration = Duration::from_millis(1_000);
+/// Mean time between two attempts to claim work; the actual time varies by up to half of it in either direction.
+const POLL_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Nodes that claim in one round, on average, where there are more.
-const CLAIMERS: f64 = 8.0;
+/// Mean number of nodes that try to claim work in one interval, where there are more nodes.
+const MEAN_CLAIMERS: f64 = 8.0;
 
-/// How long the group may take.
-const GROUP_TIME: Duration = Duration::from_secs(3);
+/// Timeout for a claim in the replicated group.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long a finished piece is tried to be recorded.
-const FINISH_TIME: Duration = Duration::from_secs(30);
+/// Timeout for storing a response in the replicated group.
+const FINISH_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause before a piece is tried again.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Time between two attempts to run the same request.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Pieces under way.
+/// The claimed requests that run on this node, with their fencing tokens.
 #[derive(Default)]
-struct Running {
-    pieces: BTreeMap<WorkId, (Fence, JoinHandle<()>)>,
+struct RunningWork {
+    tasks: BTreeMap<WorkId, (Fence, JoinHandle<()>)>,
 }
 
-/// Looks for work until the node drains. Pieces that are not finished then are taken over when
-/// their lease ends.
+/// Claims and runs work until the node drains. What is unfinished then is claimed by other nodes once its lease ends.
 pub(crate) async fn run(node: Arc<Node>) {
-    let mut running = Running::default();
+    let mut running = RunningWork::default();
     let (ended, mut endings) = mpsc::unbounded_channel::<WorkId>();
     loop {
-        let pause = LOOK_TIME.mul_f64(rand::rng().random_range(0.5..1.5));
+        let pause = POLL_INTERVAL.mul_f64(rand::rng().random_range(0.5..1.5));
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            Some(id) = endings.recv() => { running.pieces.remove(&id); }
+            Some(id) = endings.recv() => { running.tasks.remove(&id); }
         }
         if node.board.phase() == Phase::Draining {
             return;
         }
-        look(&node, &mut running, &ended).await;
+        claim_work(&node, &mut running, &ended).await;
     }
 }
 
-async fn look(node: &Arc<Node>, running: &mut Running, ended: &mpsc::UnboundedSender<WorkId>) {
+/// Claims work and starts it until nothing is left to claim or the node is at its limit. Each claim also renews the
+/// leases of the running work, and aborts what another node has claimed.
+async fn claim_work(
+    node: &Arc<Node>,
+    running: &mut RunningWork,
+    ended: &mpsc::UnboundedSender<WorkId>,
+) {
     while node.board.phase() == Phase::Serving {
-        let wants = running.pieces.len() < RUN_LIMIT && may_have_work(node);
-        if running.pieces.is_empty() && !wants {
+        let wants = running.tasks.len() < MAX_RUNNING && should_claim(node);
+        if running.tasks.is_empty() && !wants {
             return;
         }
-        let held = running.pieces.iter().map(|(id, (fence, _))| (id.clone(), *fence)).collect();
+        let held = running.tasks.iter().map(|(id, (fence, _))| (id.clone(), *fence)).collect();
         let claim = Claim { owner: node.owner(), held, wants };
-        let reply = node.access.propose(Command::Claim(claim), GROUP_TIME).await;
+        let reply = node.access.propose(Command::Claim(claim), CLAIM_TIMEOUT).await;
         let Ok(Reply::Claim(reply)) = reply else {
             return;
         };
         let ClaimReply { granted, lost } = *reply;
         for id in lost {
-            if let Some((_, task)) = running.pieces.remove(&id) {
+            if let Some((_, task)) = running.tasks.remove(&id) {
                 task.abort();
             }
         }
@@ -83,50 +88,52 @@
             return;
         };
         let (id, fence) = (granted.id.clone(), granted.fence);
-        let task = tokio::spawn(run_piece(node.clone(), granted, ended.clone()));
-        running.pieces.insert(id, (fence, task));
+        let task = tokio::spawn(run_claimed(node.clone(), granted, ended.clone()));
+        running.tasks.insert(id, (fence, task));
     }
 }
 
-/// Whether to claim: work waits, and it is this node's turn. Of many nodes only some try each time,
-/// since a claim is an entry in the log.
-fn may_have_work(node: &Node) -> bool {
+/// Whether this node should claim work now. Each claim is an entry of the replicated log, so of many nodes only a
+/// random few try in one interval.
+fn should_claim(node: &Node) -> bool {
     let boxes = node.board.boxes.load().len().max(1);
-    let chance = (CLAIMERS / boxes as f64).min(1.0);
-    node.board.work_waiting() && rand::rng().random_bool(chance)
+    let probability = (MEAN_CLAIMERS / boxes as f64).min(1.0);
+    node.board.work_waiting() && rand::rng().random_bool(probability)
 }
 
-async fn run_piece(node: Arc<Node>, granted: Granted, ended: mpsc::UnboundedSender<WorkId>) {
+/// Runs a claimed request, with retries, and stores its response.
+async fn run_claimed(node: Arc<Node>, granted: Granted, ended: mpsc::UnboundedSender<WorkId>) {
     let answer = loop {
         match run_kept(&node, &granted.request).await {
             Ok(answer) => break answer,
-            Err(failure) if may_try_again(&failure, granted.request.repeatable) => {
+            Err(failure) if may_retry(&failure, granted.request.repeatable) => {
                 tracing::debug!(event = "kept_work_waits", id = %granted.id, kind = %failure.kind);
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
-            Err(failure) => break failed(&failure),
+            Err(failure) => break failure_answer(&failure),
         }
     };
     let finish = Finish { id: granted.id.clone(), fence: granted.fence, answer };
-    let recorded = node.access.propose(Command::Finish(finish), FINISH_TIME).await;
+    let recorded = node.access.propose(Command::Finish(finish), FINISH_TIMEOUT).await;
     let fenced_off = recorded == Ok(Reply::Finish(false));
     tracing::info!(event = "kept_work_finished", id = %granted.id, fence = %granted.fence, fenced_off);
     let _ = ended.send(granted.id);
 }
 
-/// Whether the work may be run again: always when it certainly did not run, and otherwise when it is
-/// repeatable, unless the request itself is at fault.
-fn may_try_again(failure: &Failure, repeatable: bool) -> bool {
-    let row = failure.kind.answer();
-    match row.run {
-        RunState::NotRun => row.again,
+/// Whether the request may run again: only after a retryable failure, and only if it certainly did not run or is
+/// repeatable. Waits for an earlier run of the same request that is still in progress.
+fn may_retry(failure: &Failure, repeatable: bool) -> bool {
+    let answer = failure.kind.answer();
+    match answer.run {
+        RunState::NotRun => answer.again,
         RunState::Unknown if failure.kind == Kind::InProgress => true,
-        RunState::Unknown => repeatable && row.again,
+        RunState::Unknown => repeatable && answer.again,
         RunState::Done => false,
     }
 }
 
-fn failed(failure: &Failure) -> RecordedAnswer {
+/// The response to store for a request that failed for good.
+fn failure_answer(failure: &Failure) -> RecordedAnswer {
     RecordedAnswer {
         status: failure.kind.answer().status.as_u16(),
         content: "application/json".to_owned(),
@@ -135,7 +142,7 @@
 }
 
 impl Node {
-    /// This process, as an owner of attempts and work.
+    /// This process as the owner of attempts and claimed work.
     pub(crate) fn owner(&self) -> Owner {
         Owner { box_id: self.settings.node.box_id.clone(), life: self.life }
     }
--- a/src/entry/ground.rs
+++ b/src/entry/ground.rs
@@ -5,7 +5,7 @@
 use super::dispatch::Wanted;
 use super::request::Head;
 use crate::blackboard::InForce;
-use crate::control::share::whole;
+use crate::control::share::team_limits;
 use crate::decide::policy::{PolicyDecision, PolicyInput};
 use crate::decide::route::Need;
 use crate::error::{Failure, Kind};
@@ -89,7 +89,7 @@
     ) -> Result<AdmissionGuard, Failure> {
         let limits = &self.in_force.configuration.limits;
         let shares = node.board.shares.load();
-        let limit = shares.limit(&self.name, whole(&self.team), limits.entry_boxes);
+        let limit = shares.limit(&self.name, team_limits(&self.team), limits.entry_boxes);
         node.earn_retry(limits.retry_percent);
         node.admit(&self.name, tokens, limit)
     }
