--- a/src/control/duties.rs
+++ b/src/control/duties.rs
@@ -45,7 +45,7 @@
 /// Runs the leader's tasks until dropped. Each task does nothing while another process is the leader.
 pub(crate) async fn run(node: Arc<Node>, settings: CloudSettings) {
     let client = Client::new(node.pool.clone(), settings.addr);
-    tokio::spawn(notes::keep(node.clone()));
+    tokio::spawn(notes::run(node.clone()));
     tokio::spawn(rollouts::run(node.clone()));
     tokio::spawn(poll_list(node.clone(), client.clone(), settings.clone()));
     tokio::spawn(report_usage(node.clone(), client.clone(), settings.clone()));
--- a/src/control/notes.rs
+++ b/src/control/notes.rs
@@ -1,5 +1,6 @@
-//! What a leader has the group remember for the next one: teams whose levels may be low, and what was
-//! learned of engines and of dry spells.
+//! Stores in the replicated group what the next leader needs: the teams whose token buckets may be below their reserve
+//! (low teams), the number of relays, the quarantined requests, and what was learned about engines and about outages of
+//! spot capacity.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,30 +15,30 @@
 use crate::state::notes::{LowTeams, Notes, OutageHistories};
 use crate::state::{Command, Reply};
 
-/// Time between two looks at the levels.
-const LOOK_TIME: Duration = Duration::from_millis(100);
+/// Maximum time between two checks for notes to store.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two notes: each is a synced entry of the group's log, beside the ones that operators
-/// wait for. Levels are noted that long before they are low.
-const NOTE_PAUSE: Duration = Duration::from_millis(250);
+/// Minimum time between two notes. Each is a synced entry of the group's log, which also has the entries that
+/// operators wait for. Teams are noted as low this long before they are.
+const MIN_NOTE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time between two notes of what was learned of engines and dry spells: only a change of leader makes use
-/// of them.
-const ENGINES_TIME: Duration = Duration::from_secs(5);
+/// Minimum time between two notes of engine models or outage histories, which are read only after a change of leader.
+const LEARNED_NOTE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Keeps the group's notes while this process leads.
-pub(super) async fn keep(node: Arc<Node>) {
+/// Reads the notes at the beginning of a term and stores changes, whenever this process leads.
+pub(super) async fn run(node: Arc<Node>) {
     loop {
-        let _ = tokio::time::timeout(LOOK_TIME, node.lacking.notified()).await;
+        let _ = tokio::time::timeout(CHECK_INTERVAL, node.lacking.notified()).await;
         let Some(term) = node.leading_term().await else {
             continue;
         };
         load_route_table(&node, term);
-        let note = node.with_lead(term, |lead| lead.next_note(tolerance(&node)));
-        let Some(command) = note else {
+        let command = node.with_lead(term, |lead| lead.next_note(tolerance(&node)));
+        let Some(command) = command else {
             continue;
         };
-        let pause = if matches!(command, Command::ReadNotes) { Duration::ZERO } else { NOTE_PAUSE };
+        let pause =
+            if matches!(command, Command::ReadNotes) { Duration::ZERO } else { MIN_NOTE_INTERVAL };
         match node.propose_here(command, PROPOSE_TIMEOUT).await {
             Some(Reply::Quarantine(noted)) => {
                 tracing::info!(event = "quarantine_noted", requests = noted.len(), term = %term);
@@ -47,10 +48,10 @@
                 tracing::info!(
                     event = "noted", low_teams = notes.low_teams.len(), engines = ?notes.engines, term = %term,
                 );
-                // Behind the answer the blackboard has all that was decided before this term.
+                // After the reply, the blackboard has everything that was committed before this term.
                 let quarantine = node.board.quarantine();
                 node.with_lead(term, |lead| {
-                    lead.take_notes(notes);
+                    lead.restore_notes(notes);
                     lead.quarantine.apply_replicated(quarantine);
                 });
             }
@@ -61,7 +62,7 @@
 }
 
 impl LeaderState {
-    /// What the group is to note, or to be asked for at the beginning of a term.
+    /// The next command to propose: the read of the notes at the beginning of a term, then the most urgent change.
     fn next_note(&mut self, tolerance: Tolerance) -> Option<Command> {
         if self.low_teams.is_none() {
             return Some(Command::ReadNotes);
@@ -72,26 +73,26 @@
         if let Some(relays) = self.presence.next_stored(Instant::now()) {
             return Some(Command::NoteRelays(relays));
         }
-        if let Some(low) = self.next_low(tolerance) {
+        if let Some(low) = self.next_low_teams(tolerance) {
             return Some(Command::NoteLow(low));
         }
-        if self.models_stored_at.is_some_and(|at| at.elapsed() < ENGINES_TIME) {
+        if self.models_stored_at.is_some_and(|at| at.elapsed() < LEARNED_NOTE_INTERVAL) {
             return None;
         }
-        if let Some(spells) = self.next_spells() {
+        if let Some(outages) = self.next_outages() {
             self.models_stored_at = Some(Instant::now());
-            return Some(Command::NoteOutages(spells));
+            return Some(Command::NoteOutages(outages));
         }
-        let kept = |name: &ServiceName| self.stored_models.get(name).copied().unwrap_or_default();
-        let mut engines = self.models.iter();
-        if !engines.any(|(name, model)| model.differs(&kept(name))) {
+        let stored = |name: &ServiceName| self.stored_models.get(name).copied().unwrap_or_default();
+        if !self.models.iter().any(|(name, model)| model.differs(&stored(name))) {
             return None;
         }
         self.models_stored_at = Some(Instant::now());
         Some(Command::NoteEngines(self.models.clone()))
     }
 
-    fn take_notes(&mut self, notes: Notes) {
+    /// Takes over what former leaders stored, where this leader has learned nothing newer itself.
+    fn restore_notes(&mut self, notes: Notes) {
         self.low_teams = Some(notes.low_teams);
         self.presence.record_stored(notes.relays);
         for (service, model) in &notes.engines {
@@ -104,50 +105,50 @@
         self.stored_outages = Some(notes.outages);
     }
 
-    /// What is known of dry spells, where it says something else than what the group has kept.
-    fn next_spells(&self) -> Option<OutageHistories> {
-        let kept = self.stored_outages.as_ref()?;
-        let spells = self.spender.learned_outages();
+    /// The outage histories, if they differ from the stored ones.
+    fn next_outages(&self) -> Option<OutageHistories> {
+        let stored = self.stored_outages.as_ref()?;
+        let outages = self.spender.learned_outages();
         let differs = |(service, learned): (&ServiceName, &OutageHistory)| {
-            learned.differs(&kept.get(service).cloned().unwrap_or_default())
+            learned.differs(&stored.get(service).cloned().unwrap_or_default())
         };
-        spells.iter().any(differs).then_some(spells)
+        outages.iter().any(differs).then_some(outages)
     }
 
-    /// Looks at the levels of the teams that are not noted as low.
-    fn look_at_levels(&mut self, now: f64, table: &RouteTable, tolerance: Tolerance) {
+    /// Checks the token buckets of the teams that are not noted as low, and collects those that have to be.
+    fn check_buckets(&mut self, now: f64, table: &RouteTable, tolerance: Tolerance) {
         let unheard = self.presence.unheard_relays();
         let Some(low) = &self.low_teams else {
             return;
         };
-        for (name, level) in self.buckets.iter_mut().filter(|(name, _)| !low.contains(*name)) {
+        for (name, bucket) in self.buckets.iter_mut().filter(|(name, _)| !low.contains(*name)) {
             let limit = table.teams.get(name).and_then(|team| team.limit());
             if let Some(limit) = limit {
-                level.tick(now, limit.with_tolerance(tolerance), ReserveNote::Intact, unheard);
-                if level.needs_low_note() {
+                bucket.tick(now, limit.with_tolerance(tolerance), ReserveNote::Intact, unheard);
+                if bucket.needs_low_note() {
                     self.teams_to_note.insert(name.clone());
                 }
             }
         }
     }
 
-    /// Which teams' levels are to be noted as low, if not those that are. Teams that have recovered
-    /// are held to their reserve at once: the group may take any time to forget them.
-    fn next_low(&mut self, tolerance: Tolerance) -> Option<LowTeams> {
+    /// The teams to note as low, if they differ from those that are noted. A recovered team leaves `low_teams` at once,
+    /// and so must keep its reserve again before the group has stored that, which may take any time.
+    fn next_low_teams(&mut self, tolerance: Tolerance) -> Option<LowTeams> {
         let now = self.started_at.elapsed().as_secs_f64();
         let table = self.table.clone()?;
-        self.look_at_levels(now, &table, tolerance);
+        self.check_buckets(now, &table, tolerance);
         let low = self.low_teams.as_mut()?;
         let recovered = |name: &TeamName| {
             let limit = table.teams.get(name).and_then(|team| team.limit());
             let limit = limit.map(|limit| limit.with_tolerance(tolerance));
-            let level = self.buckets.get(name);
-            limit.zip(level).is_none_or(|(limit, level)| level.has_recovered(now, limit))
+            let bucket = self.buckets.get(name);
+            limit.zip(bucket).is_none_or(|(limit, bucket)| bucket.has_recovered(now, limit))
         };
-        let before = low.len();
+        let stored_count = low.len();
         low.retain(|name| !recovered(name));
-        let lacking = std::mem::take(&mut self.teams_to_note);
-        let next: LowTeams = low.union(&lacking).cloned().collect();
-        (next.len() != before || !lacking.is_subset(low)).then_some(next)
+        let added = std::mem::take(&mut self.teams_to_note);
+        let next: LowTeams = low.union(&added).cloned().collect();
+        (next.len() != stored_count || !added.is_subset(low)).then_some(next)
     }
 }
