--- a/src/control/demand.rs
+++ b/src/control/demand.rs
@@ -1,10 +1,8 @@
-//! Demand for the teams that requests wait for: a small call of its own beside the heartbeats, sent at
-//! once.
+//! Reports the demand of teams whose requests wait for tokens: a small call beside the heartbeats, sent at once.
 //!
-//! Who decides: the leader, from the same token buckets that its replies to heartbeats lease from. A lost
-//! call or reply leaves the box with what it had; the leader counts what it granted until the box's next
-//! report of the team. Fields that a side does not know are skipped, and those that it lacks have
-//! defaults, so that boxes and replicas of neighbouring releases understand each other.
+//! The leader grants tokens from the same token buckets as in its replies to heartbeats. After a lost call or reply the
+//! box keeps what it had; the leader counts a grant as used until the box's next report of the team. Unknown fields are
+//! ignored and missing ones have defaults, so that boxes and replicas of neighbouring releases understand each other.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -21,12 +19,12 @@
 use crate::node::Node;
 use crate::relay::Relay;
 
-/// The version of the messages here. It changes with the meaning of a field, not with new fields.
+/// The version of this module's messages. It changes when a field changes its meaning, not with new fields.
 pub const VERSION: u32 = 1;
 
-/// How long the leader may take, with the search for it. Requests wait for a shorter time, and find what
-/// a late reply brought with their retries.
-const ANSWER_TIME: Duration = Duration::from_millis(400);
+/// Timeout for the call, including the search for the leader. Requests wait for a shorter time; their retries use what
+/// a late reply grants.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// A box's demand for some teams.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -34,13 +32,15 @@
     /// The version of this message.
     #[serde(default)]
     pub version: u32,
-    /// The box.
+    /// The box that sends it.
     pub box_id: BoxId,
-    /// The life of its process.
-    pub life: Incarnation,
-    /// Which of the reports of this life this is, heartbeats counted.
-    pub turn: u64,
-    /// Relays that share the limits, as a leader said last.
+    /// The incarnation of the box's process.
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
+    /// The sequence number of this report in the incarnation, shared with the heartbeats.
+    #[serde(rename = "turn")]
+    pub seq: u64,
+    /// The number of relays that share the limits, by the last reply of a leader.
     #[serde(default)]
     pub relays: Option<u32>,
     /// The demand by team.
@@ -48,7 +48,7 @@
     pub teams: BTreeMap<TeamName, TeamDemand>,
 }
 
-/// What the leader grants.
+/// The leader's reply to a [`DemandRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DemandReply {
     /// The version of this message.
@@ -59,39 +59,45 @@
     pub grants: BTreeMap<TeamName, Grant>,
 }
 
-/// Sends demands until the task is dropped.
-pub(crate) async fn run(relay: Arc<Relay>, access: Access, box_id: BoxId, life: Incarnation) {
+/// Sends the teams' demand whenever that is requested, until the task is dropped.
+pub(crate) async fn run(
+    relay: Arc<Relay>,
+    access: Access,
+    box_id: BoxId,
+    incarnation: Incarnation,
+) {
     loop {
         relay.demand_requested.notified().await;
         let report = relay.allowances().next_demand(clock::now());
         if let Some(report) = report {
             let (relay, access, box_id) = (relay.clone(), access.clone(), box_id.clone());
-            tokio::spawn(send(relay, access, box_id, life, report));
+            tokio::spawn(send(relay, access, box_id, incarnation, report));
         }
     }
 }
 
+/// Sends one report and applies the grants.
 async fn send(
     relay: Arc<Relay>,
     access: Access,
     box_id: BoxId,
-    life: Incarnation,
+    incarnation: Incarnation,
     mut report: DemandReport,
 ) {
-    let (turn, teams) = (report.seq, std::mem::take(&mut report.teams));
+    let (seq, teams) = (report.seq, std::mem::take(&mut report.teams));
     let relays = relay.known_relay_count();
-    let demand = DemandRequest { version: VERSION, box_id, life, turn, relays, teams };
-    let answer = access.demand(&demand, ANSWER_TIME).await;
+    let demand = DemandRequest { version: VERSION, box_id, incarnation, seq, relays, teams };
+    let answer = access.demand(&demand, REPLY_TIMEOUT).await;
     relay.context.metrics.count_demand(if answer.is_ok() { "answered" } else { "unanswered" });
     match answer {
         Ok(reply) => relay.allowances().apply_grants(&report, &reply.grants, clock::now()),
         Err(error) => {
-            tracing::debug!(event = "demand_unanswered", %error, turn);
+            tracing::debug!(event = "demand_unanswered", %error, turn = seq);
             relay.allowances().clear_pending(&report);
         }
     }
     relay.leader_replied.notify_waiters();
-    // Requests that came meanwhile, or found more demands waiting than may.
+    // Other requests may wait: those that came meanwhile, and those beyond the limit of reports in flight.
     relay.demand_requested.notify_one();
 }
 
@@ -102,13 +108,13 @@
 ) -> Result<DemandReply, Unanswered> {
     let term = node.leading_term().await.ok_or(Unanswered::NotLeader(None))?;
     let tolerance = lead::tolerance(&node);
-    let (grants, notes) = node.with_lead(term, |lead: &mut LeaderState| {
-        let DemandRequest { box_id, life, turn, teams, relays, .. } = &demand;
-        lead.record_relay_count(box_id, *life, *relays);
-        let grants = lead.grant(box_id, *life, *turn, teams, tolerance);
+    let (grants, has_notes) = node.with_lead(term, |lead: &mut LeaderState| {
+        let DemandRequest { box_id, incarnation, seq, teams, relays, .. } = &demand;
+        lead.record_relay_count(box_id, *incarnation, *relays);
+        let grants = lead.grant(box_id, *incarnation, *seq, teams, tolerance);
         (grants, lead.has_pending_notes())
     });
-    if notes {
+    if has_notes {
         node.lacking.notify_one();
     }
     Ok(DemandReply { version: VERSION, grants })
--- a/src/control/heartbeat.rs
+++ b/src/control/heartbeat.rs
@@ -1,5 +1,5 @@
-//! A relay's word to the leader, and what comes back: one call carries the demand and use of the
-//! teams, and brings their allowances and what is new of the list of backend servers.
+//! Heartbeats from a relay to the leader: one call reports the teams' demand and usage, and returns their grants and
+//! what has changed in the list of backend servers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -29,185 +29,206 @@
 use crate::state::notes::Models;
 use crate::units::Millis;
 
-/// Time between two beats while a roll-out is about to change.
-const SOON_TIME: Duration = Duration::from_millis(200);
+/// Time between two heartbeats while a rollout is about to change phase.
+const ROLLOUT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Least time between two beats, also when something is to be told at once.
-const HURRY_TIME: Duration = Duration::from_millis(60);
+/// Minimum time between two heartbeats, also for those that are requested at once.
+const MIN_INTERVAL: Duration = Duration::from_millis(60);
 
-/// How long the leader may take, with the search for it.
-const ANSWER_TIME: Duration = Duration::from_millis(1_200);
+/// Timeout for a heartbeat, including the search for the leader.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// What a relay tells the leader.
+/// The heartbeat of a relay.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct BoxHeartbeat {
-    /// The box.
+    /// The box that sends it.
     pub box_id: BoxId,
-    /// Its data centre: it is to know mostly the servers near it.
+    /// The box's data centre. The box gets mostly servers near it.
     pub data_centre: Option<DataCentre>,
-    /// The life of its process: counts of different lives add up.
-    pub life: Incarnation,
-    /// The print of the index it has of its parts of the list of backend servers.
-    pub list: Option<ContentHash>,
-    /// The configuration it has.
+    /// The incarnation of the box's process. The leader adds up the usage counts of different incarnations.
+    #[serde(rename = "life")]
+    pub incarnation: Incarnation,
+    /// The hash of the index that the box has of its parts of the list of backend servers.
+    #[serde(rename = "list")]
+    pub index_hash: Option<ContentHash>,
+    /// The revision of the box's configuration.
     pub revision: Revision,
-    /// The published document it has.
+    /// The version of the box's published document.
     pub document: Version,
-    /// Whether this is all that the box has to tell, not only what is news since its last word.
-    pub whole: bool,
-    /// Requests that began to run, in the windows whose reports are not known to be fixed: those windows
-    /// whose counts are news.
+    /// Whether this is a full report, not only the changes since an earlier one.
+    #[serde(rename = "whole")]
+    pub is_full: bool,
+    /// The number of requests that began to run, by window and team. It has the windows whose counts have changed and
+    /// whose report is not known to be final.
     pub usage: Counts,
-    /// Prompt tokens a second that callers bring for each service.
+    /// The load that callers offer to each service.
     pub offered: BTreeMap<ServiceName, OfferedLoad>,
-    /// What this box has learned of engines, if it is news.
+    /// The engine models that this box has learned, if they have changed.
     pub engines: Option<Models>,
-    /// What requests showed of engines of which the box knows too little for a fit of its own.
+    /// Measurements of engines for which the box has too few for a fit of its own.
     pub samples: BTreeMap<ServiceName, Vec<Sample>>,
-    /// The print of what it was told of engines last.
-    pub models: Option<ContentHash>,
-    /// What the teams that come to this box used and were refused.
+    /// The hash of the pooled engine models that the box received last.
+    #[serde(rename = "models")]
+    pub models_hash: Option<ContentHash>,
+    /// What the teams used and were refused on this box.
     pub demand: BTreeMap<TeamName, TeamDemand>,
-    /// What it saw of the releases that are being tried.
+    /// Results of the releases on trial.
     pub trials: BTreeMap<ServiceName, TrialReport>,
-    /// Loads that backend servers told it since its last word.
+    /// Loads that backend servers reported to the box since its last heartbeat.
     pub loads: Vec<LoadSample>,
-    /// Lives of backend servers that the leader's list did not show.
-    pub lives: Vec<IncarnationReport>,
-    /// Servers that ended under its requests, and what that is news to.
+    /// Incarnations of backend servers that are newer than those in the leader's list.
+    #[serde(rename = "lives")]
+    pub incarnations: Vec<IncarnationReport>,
+    /// Servers that crashed while they ran requests of the box, and the version of the box's quarantined requests.
     pub quarantine: QuarantineReport,
-    /// Which of the words of this life this is.
-    pub turn: u64,
-    /// The last of them that was answered.
-    pub after: u64,
-    /// Relays that share the limits, as a leader said last.
+    /// The sequence number of this report in the incarnation.
+    #[serde(rename = "turn")]
+    pub seq: u64,
+    /// The last report that the leader acknowledged, which the changes refer to.
+    #[serde(rename = "after")]
+    pub base_seq: u64,
+    /// The number of relays that share the limits, by the last reply of a leader.
     pub relays: Option<u32>,
 }
 
-/// What the leader answers.
+/// The leader's reply to a heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// Which parts of the list of backend servers the relay is to have, if that is news to it.
+    /// The index of the relay's parts of the list of backend servers, if it differs from the relay's.
     pub list: Option<Arc<ListIndex>>,
-    /// The newest published document.
+    /// The version of the newest published document.
     pub document: Version,
-    /// How long ago the leader was last sure to have the newest document and configuration, in
-    /// milliseconds; nothing is said to a relay with another configuration.
+    /// The time in milliseconds since the leader last confirmed that its document and configuration are the newest;
+    /// `None` for a relay with another revision of the configuration.
     pub age: Option<u64>,
     /// What the teams may use on this box.
-    pub allowed: BTreeMap<TeamName, Grant>,
-    /// What all boxes have learned of engines, if it is news to the box.
+    #[serde(rename = "allowed")]
+    pub grants: BTreeMap<TeamName, Grant>,
+    /// The engine models pooled over all boxes, if they differ from the box's.
     pub engines: Option<ModelsUpdate>,
-    /// Whether the leader lacks what earlier words of this life of the box told.
-    pub lacks: bool,
-    /// Which releases get the services' requests; nothing while the leader is not sure.
+    /// Whether the leader needs a full report, as it missed an earlier one of this incarnation of the box.
+    #[serde(rename = "lacks")]
+    pub needs_full: bool,
+    /// The releases that get the services' requests; `None` while the leader does not know them.
     pub releases: Option<BTreeMap<ServiceName, ReleaseUpdate>>,
-    /// Loads that backend servers told other boxes.
+    /// Loads that backend servers reported to other boxes.
     pub loads: Vec<PartLoads>,
-    /// Which requests no server gets any more, if that is news to the box.
+    /// The quarantined requests, which no server gets any more, if they differ from the box's.
     pub quarantine: Option<QuarantineUpdate>,
-    /// The last window whose report is fixed.
+    /// The last window whose usage report is final.
     pub settled: Window,
-    /// Relays that share the limits.
+    /// The number of relays that share the limits.
     pub relays: u32,
     /// Time until the box's next heartbeat.
     pub interval: Millis,
-    /// The leader's data centre, to a word that tells all.
+    /// The leader's data centre, in reply to a full report.
     pub data_centre: Option<DataCentre>,
 }
 
-/// What the two sides have of each other.
+/// What each side has received from the other, from which the changes to send are worked out.
 #[derive(Default)]
-struct Told {
-    telling: DeltaSender,
-    /// The print of what the leader told of engines last.
-    models: Option<ContentHash>,
+struct DeltaState {
+    sender: DeltaSender,
+    /// The hash of the engine models that the leader sent last.
+    models_hash: Option<ContentHash>,
 }
 
-/// Beats until the task is dropped.
-pub(crate) async fn run(relay: Arc<Relay>, access: Access, box_id: BoxId, life: Incarnation) {
-    let (mut lost, mut failed) = (false, 0);
-    let mut told = Told::default();
+/// Sends heartbeats until the task is dropped.
+pub(crate) async fn run(
+    relay: Arc<Relay>,
+    access: Access,
+    box_id: BoxId,
+    incarnation: Incarnation,
+) {
+    let (mut was_lost, mut failures) = (false, 0);
+    let mut delta_state = DeltaState::default();
     loop {
-        let heard = beat(&relay, &access, &mut told, &box_id, life).await;
-        if heard == lost {
+        let is_answered =
+            send_heartbeat(&relay, &access, &mut delta_state, &box_id, incarnation).await;
+        if is_answered == was_lost {
             let version = relay.servers.version();
-            tracing::info!(event = "leader_heard", heard, list_term = %version.term);
+            tracing::info!(event = "leader_heard", heard = is_answered, list_term = %version.term);
         }
-        lost = !heard;
-        let listed = relay.servers.index_hash().is_some();
-        failed = if heard && listed { 0 } else { failed + 1 };
-        let pause = match (failed > 0, relay.releases().should_report_often()) {
-            (true, _) => retry_delay(relay.relay_count(), failed - 1),
-            (false, true) => SOON_TIME,
+        was_lost = !is_answered;
+        let has_list = relay.servers.index_hash().is_some();
+        failures = if is_answered && has_list { 0 } else { failures + 1 };
+        let pause = match (failures > 0, relay.releases().should_report_often()) {
+            (true, _) => retry_delay(relay.relay_count(), failures - 1),
+            (false, true) => ROLLOUT_INTERVAL,
             (false, false) => relay.heartbeat_interval(),
         };
         let jitter = rand::rng().random_range(0.85..1.15);
-        let hurried = async {
-            tokio::time::sleep(HURRY_TIME).await;
+        let requested = async {
+            tokio::time::sleep(MIN_INTERVAL).await;
             relay.heartbeat_requested.notified().await;
         };
-        let _ = tokio::time::timeout(pause.mul_f64(jitter), hurried).await;
+        let _ = tokio::time::timeout(pause.mul_f64(jitter), requested).await;
     }
 }
 
-/// One beat; whether it was answered.
-async fn beat(
+/// Sends one heartbeat and applies the reply. Returns whether a reply came.
+async fn send_heartbeat(
     relay: &Relay,
     access: &Access,
-    told: &mut Told,
+    delta_state: &mut DeltaState,
     box_id: &BoxId,
-    life: Incarnation,
+    incarnation: Incarnation,
 ) -> bool {
-    let asked = clock::now();
-    let mut report = relay.allowances().heartbeat_report(asked);
-    let turn = report.seq;
-    let news = told.telling.delta(turn, relay.usage().counts(), relay.engines().learned());
-    let beat = BoxHeartbeat {
+    let sent_at = clock::now();
+    let mut report = relay.allowances().heartbeat_report(sent_at);
+    let seq = report.seq;
+    let delta = delta_state.sender.delta(seq, relay.usage().counts(), relay.engines().learned());
+    let heartbeat = BoxHeartbeat {
         box_id: box_id.clone(),
         data_centre: Some(relay.context.topology.own().clone()),
-        life,
-        list: relay.servers.index_hash(),
+        incarnation,
+        index_hash: relay.servers.index_hash(),
         revision: relay.context.board.revision(),
         document: relay.context.board.document().version,
-        whole: news.is_full,
-        usage: news.usage.clone(),
+        is_full: delta.is_full,
+        usage: delta.usage.clone(),
         offered: relay.offered().rates(Instant::now()),
-        engines: news.engines.clone(),
+        engines: delta.engines.clone(),
         samples: relay.engines().take_samples(),
-        models: told.models,
+        models_hash: delta_state.models_hash,
         demand: std::mem::take(&mut report.teams),
         trials: relay.releases().build_reports(Instant::now()),
         loads: relay.loads().drain(Instant::now()),
-        lives: relay.servers.unreported_incarnations(),
+        incarnations: relay.servers.unreported_incarnations(),
         quarantine: relay.quarantine().report(Instant::now()),
-        turn,
-        after: news.base_seq,
+        seq,
+        base_seq: delta.base_seq,
         relays: relay.known_relay_count(),
     };
-    match access.beat(&beat, ANSWER_TIME).await {
+    match access.beat(&heartbeat, REPLY_TIMEOUT).await {
         Ok(reply) => {
             relay.set_heartbeat_interval(reply.interval.duration());
-            relay.allowances().apply_grants(&report, &reply.allowed, clock::now());
+            relay.allowances().apply_grants(&report, &reply.grants, clock::now());
             relay.releases().apply_updates(reply.releases);
-            if let Some(word) = reply.engines {
-                told.models = Some(word.print);
-                relay.engines().apply_pooled(word.models);
+            if let Some(update) = reply.engines {
+                delta_state.models_hash = Some(update.hash);
+                relay.engines().apply_pooled(update.models);
             }
             relay.servers.apply_part_loads(&reply.loads);
-            // After a stop of everything the leader knows this about 0.3 s before the other replicas can be sure.
+            // After a stop of all replicas, the leader can tell its age about 0.3 s before the other replicas can
+            // confirm theirs.
             let age = reply.age.map(Duration::from_millis);
-            relay.context.board.record_answer(reply.document, access.leader(), asked, age);
-            quarantine::apply_answer(relay, &beat.quarantine, reply.quarantine, reply.lacks);
+            relay.context.board.record_answer(reply.document, access.leader(), sent_at, age);
+            quarantine::apply_answer(
+                relay,
+                &heartbeat.quarantine,
+                reply.quarantine,
+                reply.needs_full,
+            );
             relay.usage().forget(reply.settled);
-            told.telling.handle_answer(news, reply.lacks, reply.settled);
-            if reply.lacks {
+            delta_state.sender.handle_answer(delta, reply.needs_full, reply.settled);
+            if reply.needs_full {
                 relay.heartbeat_requested.notify_one();
             }
             relay.set_relay_count(reply.relays);
             relay.leader_replied.notify_waiters();
-            if let Some(news) = reply.list {
-                relay.apply_index(Arc::unwrap_or_clone(news));
+            if let Some(index) = reply.list {
+                relay.apply_index(Arc::unwrap_or_clone(index));
             }
             true
         }
--- a/src/control/lead.rs
+++ b/src/control/lead.rs
@@ -109,7 +109,7 @@
     /// The version of the route table whose teams have token buckets.
     buckets_version: Option<Version>,
     refusal_logs: BTreeMap<TeamName, RefusalLog>,
-    /// The teams that the replicated notes mark as low on tokens; `None` until the notes were read.
+    /// The teams whose token buckets may be below their reserve, by the replicated notes; `None` until these were read.
     pub(super) low_teams: Option<LowTeams>,
     /// The teams to be marked as low with the next note.
     pub(super) teams_to_note: LowTeams,
@@ -122,6 +122,7 @@
     logged_unreadable: BTreeSet<UnreadableEntry>,
     /// Loads that the backend servers reported to the relays.
     pub(super) loads: LoadPool,
+    /// The last window whose usage report is final.
     pub(super) settled: Window,
     pub(super) spender: Autoscaler,
     /// The engine models pooled over all relays.
@@ -185,48 +186,62 @@
     }
 
     /// Applies the report of a relay and builds the reply.
-    fn handle_heartbeat(&mut self, beat: BoxHeartbeat, tolerance: Tolerance) -> HeartbeatReply {
+    fn handle_heartbeat(
+        &mut self,
+        heartbeat: BoxHeartbeat,
+        tolerance: Tolerance,
+    ) -> HeartbeatReply {
         let now = Instant::now();
         self.sweep(now);
-        let box_id = beat.box_id.clone();
-        let data_centre = beat.data_centre.clone();
-        let key = (box_id.clone(), beat.life);
-        self.record_relay_count(&box_id, beat.life, beat.relays);
-        let allowed = self.grant(&beat.box_id, beat.life, beat.turn, &beat.demand, tolerance);
+        let box_id = heartbeat.box_id.clone();
+        let data_centre = heartbeat.data_centre.clone();
+        let key = (box_id.clone(), heartbeat.incarnation);
+        self.record_relay_count(&box_id, heartbeat.incarnation, heartbeat.relays);
+        let grants = self.grant(
+            &heartbeat.box_id,
+            heartbeat.incarnation,
+            heartbeat.seq,
+            &heartbeat.demand,
+            tolerance,
+        );
         let elapsed = self.started_at.elapsed().as_secs_f64();
-        let releases = self.rollouts.record_reports(elapsed, &key, &beat.trials);
-        let last_heard = self.presence.record(&beat.box_id, now);
-        self.loads.record_samples(beat.loads, now);
-        self.record_samples(beat.samples);
-        self.record_incarnations(beat.lives, now);
-        let quarantine = self.apply_quarantine_report(beat.quarantine, now);
+        let releases = self.rollouts.record_reports(elapsed, &key, &heartbeat.trials);
+        let last_heard = self.presence.record(&heartbeat.box_id, now);
+        self.loads.record_samples(heartbeat.loads, now);
+        self.record_samples(heartbeat.samples);
+        self.record_incarnations(heartbeat.incarnations, now);
+        let quarantine = self.apply_quarantine_report(heartbeat.quarantine, now);
         let delta = ReportDelta {
-            is_full: beat.whole,
-            seq: beat.turn,
-            base_seq: beat.after,
-            usage: beat.usage,
-            engines: beat.engines,
+            is_full: heartbeat.is_full,
+            seq: heartbeat.seq,
+            base_seq: heartbeat.base_seq,
+            usage: heartbeat.usage,
+            engines: heartbeat.engines,
         };
         let mut deltas =
             self.relay_states.remove(&key).map(|state| state.deltas).unwrap_or_default();
-        let lacks = deltas.apply(delta, self.settled);
-        let state =
-            RelayState { received_at: now, document: beat.document, offered: beat.offered, deltas };
+        let needs_full = deltas.apply(delta, self.settled);
+        let state = RelayState {
+            received_at: now,
+            document: heartbeat.document,
+            offered: heartbeat.offered,
+            deltas,
+        };
         self.relay_states.insert(key, state);
         let relays = self.presence.estimated_relays(now);
         let index =
             self.is_informed().then(|| self.list.index_for_location(&box_id, data_centre.as_ref()));
         let parts = index.as_ref().map(|index| self.list.listed_parts(index)).unwrap_or_default();
         let loads = self.sample_loads(&parts, now, last_heard);
-        let list = index.filter(|index| beat.list != Some(index.hash));
-        let engines = self.models_broadcast.news(&self.models, beat.models);
+        let list = index.filter(|index| heartbeat.index_hash != Some(index.hash));
+        let engines = self.models_broadcast.update_for(&self.models, heartbeat.models_hash);
         HeartbeatReply {
             list,
             document: Version(0),
             age: None,
-            allowed,
+            grants,
             engines,
-            lacks,
+            needs_full,
             releases,
             loads,
             quarantine,
@@ -308,8 +323,8 @@
     }
 
     /// Applies a relay's reports of server incarnations. The next listing passes them on to all relays.
-    fn record_incarnations(&mut self, lives: Vec<IncarnationReport>, now: Instant) {
-        for report in lives {
+    fn record_incarnations(&mut self, reports: Vec<IncarnationReport>, now: Instant) {
+        for report in reports {
             if self.list.apply_incarnation(&report, now) == lives::IncarnationUpdate::Restarted {
                 tracing::info!(event = "backend_server_restarted", backend_server = %report.server);
                 self.loads.restart(report.server, now);
@@ -333,20 +348,20 @@
     pub(super) fn record_relay_count(
         &mut self,
         box_id: &BoxId,
-        life: Incarnation,
+        incarnation: Incarnation,
         relays: Option<u32>,
     ) {
-        if !self.relay_states.contains_key(&(box_id.clone(), life)) {
+        if !self.relay_states.contains_key(&(box_id.clone(), incarnation)) {
             self.presence.record_told(box_id, relays);
         }
     }
 
-    /// Grants a box tokens of its teams' limits by its demand, where `turn` is the sequence number of its report.
+    /// Grants a box tokens of its teams' limits by its demand, where `seq` is the sequence number of its report.
     pub(super) fn grant(
         &mut self,
         box_id: &BoxId,
-        life: Incarnation,
-        turn: u64,
+        incarnation: Incarnation,
+        seq: u64,
         teams: &BTreeMap<TeamName, TeamDemand>,
         tolerance: Tolerance,
     ) -> BTreeMap<TeamName, Grant> {
@@ -356,14 +371,14 @@
         };
         self.sync_buckets(&table, now);
         let unheard = self.presence.unheard_relays();
-        let mut allowed = BTreeMap::new();
+        let mut grants = BTreeMap::new();
         for (name, demand) in teams {
             let Some(limit) = table.teams.get(name).and_then(|team| team.limit()) else {
                 continue;
             };
             let limit = limit.with_tolerance(tolerance);
             let bucket = self.buckets.entry(name.clone()).or_insert_with(|| TokenBucket::new(now));
-            let report = token_bucket::TeamReport { incarnation: life, seq: turn, demand: *demand };
+            let report = token_bucket::TeamReport { incarnation, seq, demand: *demand };
             let refusal_log = self.refusal_logs.entry(name.clone()).or_default();
             refusal_log.record(name, demand.refused, bucket);
             let noted = match &self.low_teams {
@@ -372,13 +387,13 @@
                 Some(_) => ReserveNote::Intact,
             };
             if let Some(grant) = bucket.handle_report(now, limit, noted, unheard, box_id, report) {
-                allowed.insert(name.clone(), grant);
+                grants.insert(name.clone(), grant);
             }
             if bucket.needs_low_note() {
                 self.teams_to_note.insert(name.clone());
             }
         }
-        allowed
+        grants
     }
 
     /// Whether notes wait to be read from the group or proposed to it.
@@ -516,17 +531,17 @@
 /// polling.
 pub(crate) async fn handle_heartbeat(
     node: Arc<Node>,
-    beat: BoxHeartbeat,
+    heartbeat: BoxHeartbeat,
 ) -> Result<HeartbeatReply, Unanswered> {
     let term = node.leading_term().await.ok_or(Unanswered::NotLeader(None))?;
-    if beat.list.is_none() {
+    if heartbeat.index_hash.is_none() {
         wait_for_list(&node, term).await;
     }
     // Read before the document, so that the document is at least as new as the age says.
-    let age = node.board.age().filter(|_| node.board.revision() == beat.revision);
+    let age = node.board.age().filter(|_| node.board.revision() == heartbeat.revision);
     let age = age.map(|age| age.as_millis() as u64);
     let document = node.board.document().version;
-    let data_centre = beat.whole.then(|| node.settings.node.data_centre.clone());
+    let data_centre = heartbeat.is_full.then(|| node.settings.node.data_centre.clone());
     let noted = node.board.quarantine();
     let (reply, has_notes) = node.with_lead(term, |lead| {
         if lead.quarantine.is_known() {
@@ -536,7 +551,7 @@
             document,
             age,
             data_centre,
-            ..lead.handle_heartbeat(beat, tolerance(&node))
+            ..lead.handle_heartbeat(heartbeat, tolerance(&node))
         };
         (reply, lead.has_pending_notes())
     });
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -451,7 +451,7 @@
     // One message has an unknown field, the other lacks known ones.
     let text = r#"{"version":9,"box_id":"box-1","life":7,"turn":3,"teams":{},"hue":"blue"}"#;
     let request: DemandRequest = serde_json::from_str(text).unwrap();
-    assert_eq!((request.version, request.turn), (9, 3));
+    assert_eq!((request.version, request.seq), (9, 3));
     let text = r#"{"box_id":"box-1","life":7,"turn":3}"#;
     let request: DemandRequest = serde_json::from_str(text).unwrap();
     assert!(request.version == 0 && request.teams.is_empty());
