--- a/src/control/boxlist.rs
+++ b/src/control/boxlist.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::boxlist::{self, ListedBox, ListedState};
-use crate::member::spread::word;
+use crate::member::spread::backend_report;
 use crate::node::Node;
 
 /// Timeout for a request to the platform.
@@ -45,6 +45,6 @@
         return;
     };
     if node.board.in_force().configuration.backends.contains_key(&id) {
-        node.hear_backend(id, word(listed.incarnation, left));
+        node.hear_backend(id, backend_report(listed.incarnation, left));
     }
 }
--- a/src/control/load.rs
+++ b/src/control/load.rs
@@ -7,7 +7,7 @@
 
 use crate::backend::engine::{self, EngineFault, Load};
 use crate::ids::{BackendId, Incarnation};
-use crate::member::spread::word;
+use crate::member::spread::backend_report;
 use crate::node::Node;
 use crate::state::config::{BackendServer, Configuration, ServiceKind};
 
@@ -72,6 +72,6 @@
 fn apply_leave_notice(node: &Node, id: BackendId, load: &Load, current: Incarnation) {
     if let Some(left) = load.leaving_ms {
         let incarnation = load.incarnation.unwrap_or(current);
-        node.hear_backend(id, word(incarnation, Some(Duration::from_millis(left))));
+        node.hear_backend(id, backend_report(incarnation, Some(Duration::from_millis(left))));
     }
 }
--- a/src/entry/hand_over.rs
+++ b/src/entry/hand_over.rs
@@ -103,7 +103,7 @@
 fn homes(node: &Node, team: &TeamName, key: &RequestKey) -> Vec<BoxId> {
     let boxes = node.board.boxes.load();
     let own = &node.settings.node.box_id;
-    let mut ranking = home::ranking(&boxes, own, team, key);
+    let mut ranking = home::rank_boxes(&boxes, own, team, key);
     ranking.truncate(HOMES);
     ranking
 }
--- a/src/member/table.rs
+++ b/src/member/table.rs
@@ -1,8 +1,9 @@
-//! What a node knows of boxes and of backend servers that leave, and how news is merged into it.
+//! The membership table: the boxes and backend servers that a node knows of, and the merging of gossip
+//! into it.
 //!
-//! A record replaces another when it is of a later life, or of the same life and a later version, or
-//! of the same version and a worse state: so a box's own word of a later version takes a suspicion
-//! back, and nothing else does.
+//! Records are ordered by incarnation, then version, then state, where a worse state is greater; a
+//! received record replaces the stored one only if it is greater. A suspicion within an incarnation can
+//! therefore be refuted only by the suspected box itself, which raises its version.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,26 +13,26 @@
 
 use crate::ids::{BackendId, BoxId, DataCentre, Incarnation};
 
-/// How long a suspected box has to take the suspicion back, in milliseconds.
-pub const SUSPECT_TIME: u64 = 3_000;
+/// How long a suspected box has to refute the suspicion before it is considered gone, in milliseconds.
+pub const SUSPICION_TIMEOUT_MS: u64 = 3_000;
 
-/// How long a gone box is remembered, in milliseconds.
-pub const GONE_TIME: u64 = 3_600_000;
+/// How long the record of a gone box is retained, in milliseconds.
+pub const GONE_RETENTION_MS: u64 = 3_600_000;
 
-/// How often a piece of news is passed on, times the binary logarithm of the number of boxes.
-const REPEATS: u32 = 2;
+/// Transmissions of each update per bit of the number of boxes, so that they grow with its logarithm.
+const TRANSMISSIONS_PER_BIT: u32 = 2;
 
-/// A box's state as other nodes see it, from best to worst.
+/// The state of a box as other nodes see it, ordered from best to worst.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BoxState {
-    /// It answers.
+    /// Responds to probes.
     Live,
-    /// It did not answer lately.
+    /// Did not respond to a recent probe.
     Suspect,
-    /// It drains.
+    /// Is draining.
     Leaving,
-    /// It is gone.
+    /// Left, or did not refute a suspicion in time.
     Gone,
 }
 
@@ -46,123 +47,131 @@
     }
 }
 
-/// What is known of one box.
+/// The membership record of one box.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxRecord {
-    /// The life of its process.
+    /// The incarnation of its process.
     pub life: Incarnation,
-    /// Grows with every change the box itself makes to its record.
+    /// Incremented by the box itself on every change it makes to its record.
     pub version: u64,
-    /// Its data centre.
+    /// The data centre that the box runs in.
     pub data_centre: DataCentre,
-    /// Where nodes reach it.
+    /// The address for requests of other nodes.
     pub peer: SocketAddr,
-    /// Where callers reach it, if it takes any.
+    /// The address for callers, if the box accepts them.
     pub entry: Option<SocketAddr>,
-    /// Its state.
+    /// The last known state.
     pub state: BoxState,
 }
 
 impl BoxRecord {
-    fn rank(&self) -> (Incarnation, u64, BoxState) {
+    /// The precedence of the record: the greater one wins.
+    fn precedence(&self) -> (Incarnation, u64, BoxState) {
         (self.life, self.version, self.state)
     }
 }
 
-/// All boxes known.
+/// The records of all known boxes.
 pub type Boxes = BTreeMap<BoxId, BoxRecord>;
 
-/// What is known of a backend server's coming and going.
+/// A report that a backend server is present or leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BackendNews {
-    /// Which life of it.
+pub struct BackendReport {
+    /// The incarnation of the backend server.
     pub life: Incarnation,
-    /// Milliseconds until its box goes, when it is leaving.
+    /// Milliseconds until its machine goes away, or `None` if it is not leaving.
     pub left: Option<u64>,
 }
 
-/// Records passed between nodes.
+/// Membership records exchanged between nodes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
-    /// Boxes.
+pub struct MembershipUpdates {
+    /// Records of boxes.
     pub boxes: Vec<(BoxId, BoxRecord)>,
-    /// Backend servers.
-    pub backends: Vec<(BackendId, BackendNews)>,
+    /// Reports about backend servers.
+    pub backends: Vec<(BackendId, BackendReport)>,
 }
 
-impl News {
-    /// Whether there is none.
+impl MembershipUpdates {
+    /// Returns whether there are no updates.
     pub fn is_empty(&self) -> bool {
         self.boxes.is_empty() && self.backends.is_empty()
     }
 }
 
+/// The stored report about a backend server.
 #[derive(Debug, Clone, Copy)]
 struct BackendRecord {
     life: Incarnation,
-    /// When its box goes, on the node's clock.
-    gone: Option<u64>,
+    /// When its machine goes away, in milliseconds on the node's clock; `None` if it is not leaving.
+    gone_at_ms: Option<u64>,
 }
 
 impl BackendRecord {
-    fn rank(&self) -> (Incarnation, bool) {
-        (self.life, self.gone.is_some())
+    /// The precedence of the record: the greater one wins, and leaving wins over staying.
+    fn precedence(&self) -> (Incarnation, bool) {
+        (self.life, self.gone_at_ms.is_some())
     }
 }
 
-/// What a node knows, and what it still has to pass on.
+/// The membership known to a node, and the updates that it still has to gossip.
+///
+/// All times are milliseconds on the node's own monotonic clock.
 #[derive(Debug)]
-pub struct Table {
+pub struct MembershipTable {
     own: BoxId,
     boxes: Boxes,
-    since: BTreeMap<BoxId, u64>,
+    /// When the record of each box last changed.
+    changed_at_ms: BTreeMap<BoxId, u64>,
     backends: BTreeMap<BackendId, BackendRecord>,
-    hot_boxes: BTreeMap<BoxId, u32>,
-    hot_backends: BTreeMap<BackendId, u32>,
+    /// Boxes with an update to gossip, each with the number of transmissions left.
+    pending_boxes: BTreeMap<BoxId, u32>,
+    /// The same for backend servers.
+    pending_backends: BTreeMap<BackendId, u32>,
 }
 
-impl Table {
-    /// A table that knows its own box.
+impl MembershipTable {
+    /// Creates a table that holds only the node's own box.
     pub fn new(own: BoxId, record: BoxRecord) -> Self {
         let mut table = Self {
             own: own.clone(),
             boxes: Boxes::new(),
-            since: BTreeMap::new(),
+            changed_at_ms: BTreeMap::new(),
             backends: BTreeMap::new(),
-            hot_boxes: BTreeMap::new(),
-            hot_backends: BTreeMap::new(),
+            pending_boxes: BTreeMap::new(),
+            pending_backends: BTreeMap::new(),
         };
         table.boxes.insert(own.clone(), record);
-        table.heat_box(&own);
+        table.enqueue_box(&own);
         table
     }
 
-    /// All boxes known.
+    /// Returns the records of all known boxes, including gone ones.
     pub fn boxes(&self) -> &Boxes {
         &self.boxes
     }
 
-    /// The other boxes that are not known to be gone.
+    /// Returns the records of all boxes except the node's own and those that are gone.
     pub fn others(&self) -> Vec<(BoxId, BoxRecord)> {
         let others =
             self.boxes.iter().filter(|(id, it)| **id != self.own && it.state < BoxState::Gone);
         others.map(|(id, record)| (id.clone(), record.clone())).collect()
     }
 
-    /// Merges news heard at `now`; gives what was new of it.
-    pub fn merge(&mut self, now: u64, news: &News) -> News {
-        let mut fresh = News::default();
-        for (box_id, record) in &news.boxes {
+    /// Merges updates received at `now` and returns those that changed the table.
+    pub fn merge(&mut self, now: u64, updates: &MembershipUpdates) -> MembershipUpdates {
+        let mut changed = MembershipUpdates::default();
+        for (box_id, record) in &updates.boxes {
             if self.merge_box(now, box_id, record) {
-                fresh.boxes.push((box_id.clone(), record.clone()));
+                changed.boxes.push((box_id.clone(), record.clone()));
             }
         }
-        for (id, heard) in &news.backends {
-            if self.merge_backend(now, id, *heard) {
-                fresh.backends.push((id.clone(), *heard));
+        for (id, received) in &updates.backends {
+            if self.merge_backend(now, id, *received) {
+                changed.backends.push((id.clone(), *received));
             }
         }
-        fresh
+        changed
     }
 
     fn merge_box(&mut self, now: u64, box_id: &BoxId, record: &BoxRecord) -> bool {
@@ -170,165 +179,171 @@
             self.refute(record);
             return false;
         }
-        let held = self.boxes.get(box_id);
-        if held.is_some_and(|held| held.rank() >= record.rank()) {
+        let stored = self.boxes.get(box_id);
+        if stored.is_some_and(|stored| stored.precedence() >= record.precedence()) {
             return false;
         }
         self.boxes.insert(box_id.clone(), record.clone());
-        self.since.insert(box_id.clone(), now);
-        self.heat_box(box_id);
+        self.changed_at_ms.insert(box_id.clone(), now);
+        self.enqueue_box(box_id);
         true
     }
 
-    /// Answers a worse word about the own box with a later version.
-    fn refute(&mut self, heard: &BoxRecord) {
+    /// Raises the version of the node's own record above a received one that supersedes it, so that the
+    /// own record wins again. Records of another incarnation are ignored.
+    fn refute(&mut self, received: &BoxRecord) {
         let own = self.own.clone();
         let Some(record) = self.boxes.get_mut(&own) else {
             return;
         };
-        if heard.rank() > record.rank() && heard.life == record.life {
-            record.version = heard.version + 1;
-            self.heat_box(&own);
+        if received.precedence() > record.precedence() && received.life == record.life {
+            record.version = received.version + 1;
+            self.enqueue_box(&own);
         }
     }
 
-    fn merge_backend(&mut self, now: u64, id: &BackendId, heard: BackendNews) -> bool {
-        let record = BackendRecord { life: heard.life, gone: heard.left.map(|left| now + left) };
-        if self.backends.get(id).is_some_and(|held| held.rank() >= record.rank()) {
+    fn merge_backend(&mut self, now: u64, id: &BackendId, received: BackendReport) -> bool {
+        let record =
+            BackendRecord { life: received.life, gone_at_ms: received.left.map(|left| now + left) };
+        if self.backends.get(id).is_some_and(|stored| stored.precedence() >= record.precedence()) {
             return false;
         }
         self.backends.insert(id.clone(), record);
-        let repeats = self.repeats();
-        self.hot_backends.insert(id.clone(), repeats);
+        let transmissions = self.transmissions();
+        self.pending_backends.insert(id.clone(), transmissions);
         true
     }
 
-    /// The own box begins to drain.
-    pub fn leave(&mut self) {
+    /// Marks the node's own box as leaving.
+    pub fn mark_leaving(&mut self) {
         let own = self.own.clone();
         if let Some(record) = self.boxes.get_mut(&own) {
             record.version += 1;
             record.state = BoxState::Leaving;
         }
-        self.heat_box(&own);
+        self.enqueue_box(&own);
     }
 
-    /// A box did not answer: it is suspected, unless it is known to be leaving, which is worse.
-    pub fn suspect(&mut self, now: u64, box_id: &BoxId) {
+    /// Marks a live box that did not respond as suspect; worse states stay as they are.
+    pub fn mark_suspect(&mut self, now: u64, box_id: &BoxId) {
         let Some(record) = self.boxes.get_mut(box_id).filter(|it| it.state == BoxState::Live)
         else {
             return;
         };
         record.state = BoxState::Suspect;
-        self.since.insert(box_id.clone(), now);
-        self.heat_box(box_id);
+        self.changed_at_ms.insert(box_id.clone(), now);
+        self.enqueue_box(box_id);
     }
 
-    /// Lets time pass: suspected boxes that kept silent are gone, gone ones are forgotten at last.
-    /// A leaving box that no longer answers is gone as well.
-    pub fn tick(&mut self, now: u64) {
+    /// Marks boxes as gone whose suspicion was not refuted within [`SUSPICION_TIMEOUT_MS`], and removes
+    /// those that have been gone for longer than [`GONE_RETENTION_MS`].
+    pub fn expire(&mut self, now: u64) {
         let mut gone = Vec::new();
-        let mut forgotten = Vec::new();
+        let mut expired = Vec::new();
         for (box_id, record) in &mut self.boxes {
-            let age = now.saturating_sub(self.since.get(box_id).copied().unwrap_or(now));
+            let age = now.saturating_sub(self.changed_at_ms.get(box_id).copied().unwrap_or(now));
             match record.state {
-                BoxState::Suspect if age > SUSPECT_TIME => {
+                BoxState::Suspect if age > SUSPICION_TIMEOUT_MS => {
                     record.state = BoxState::Gone;
                     gone.push(box_id.clone());
                 }
-                BoxState::Gone if age > GONE_TIME => forgotten.push(box_id.clone()),
+                BoxState::Gone if age > GONE_RETENTION_MS => expired.push(box_id.clone()),
                 _ => {}
             }
         }
         for box_id in gone {
-            self.since.insert(box_id.clone(), now);
-            self.heat_box(&box_id);
+            self.changed_at_ms.insert(box_id.clone(), now);
+            self.enqueue_box(&box_id);
         }
-        for box_id in forgotten {
+        for box_id in expired {
             self.boxes.remove(&box_id);
-            self.since.remove(&box_id);
+            self.changed_at_ms.remove(&box_id);
         }
     }
 
-    /// A leaving box no longer answers.
-    pub fn note_gone(&mut self, now: u64, box_id: &BoxId) {
+    /// Marks a box as gone at once. For a leaving box that stopped responding.
+    pub fn mark_gone(&mut self, now: u64, box_id: &BoxId) {
         let Some(record) = self.boxes.get_mut(box_id).filter(|it| it.state < BoxState::Gone) else {
             return;
         };
         record.state = BoxState::Gone;
-        self.since.insert(box_id.clone(), now);
-        self.heat_box(box_id);
+        self.changed_at_ms.insert(box_id.clone(), now);
+        self.enqueue_box(box_id);
     }
 
-    /// Takes the news that still has to be passed on, once more of it.
-    pub fn take_hot(&mut self, now: u64) -> News {
-        let news = News {
-            boxes: self.hot_boxes.keys().filter_map(|id| self.box_news(id)).collect(),
+    /// Returns the pending updates and counts one transmission of each.
+    pub fn take_pending(&mut self, now: u64) -> MembershipUpdates {
+        let updates = MembershipUpdates {
+            boxes: self.pending_boxes.keys().filter_map(|id| self.box_update(id)).collect(),
             backends: self
-                .hot_backends
+                .pending_backends
                 .keys()
-                .filter_map(|id| self.backend_news(now, id))
+                .filter_map(|id| self.backend_update(now, id))
                 .collect(),
         };
-        cool(&mut self.hot_boxes);
-        cool(&mut self.hot_backends);
-        news
+        count_transmission(&mut self.pending_boxes);
+        count_transmission(&mut self.pending_backends);
+        updates
     }
 
-    /// Whether there is news to pass on.
-    pub fn is_hot(&self) -> bool {
-        !self.hot_boxes.is_empty() || !self.hot_backends.is_empty()
+    /// Returns whether updates are pending.
+    pub fn has_pending(&self) -> bool {
+        !self.pending_boxes.is_empty() || !self.pending_backends.is_empty()
     }
 
-    /// All that is known.
-    pub fn all(&self, now: u64) -> News {
-        News {
-            boxes: self.boxes.keys().filter_map(|id| self.box_news(id)).collect(),
-            backends: self.backends.keys().filter_map(|id| self.backend_news(now, id)).collect(),
+    /// Returns every record of the table.
+    pub fn snapshot(&self, now: u64) -> MembershipUpdates {
+        MembershipUpdates {
+            boxes: self.boxes.keys().filter_map(|id| self.box_update(id)).collect(),
+            backends: self.backends.keys().filter_map(|id| self.backend_update(now, id)).collect(),
         }
     }
 
-    /// A fingerprint of all that is known: equal tables have equal ones.
+    /// Hashes all records, so that nodes can compare tables without exchanging them.
+    ///
+    /// Other builds must compute the same value: it covers the `Debug` output of the records' precedence.
     pub fn digest(&self) -> u64 {
         let mut hash = 0_u64;
         for (id, record) in &self.boxes {
-            hash ^= fingerprint(&format!("{id} {:?}", record.rank()));
+            hash ^= fingerprint(&format!("{id} {:?}", record.precedence()));
         }
         for (id, record) in &self.backends {
-            hash ^= fingerprint(&format!("{id} {:?}", record.rank()));
+            hash ^= fingerprint(&format!("{id} {:?}", record.precedence()));
         }
         hash
     }
 
-    fn box_news(&self, id: &BoxId) -> Option<(BoxId, BoxRecord)> {
+    fn box_update(&self, id: &BoxId) -> Option<(BoxId, BoxRecord)> {
         self.boxes.get(id).map(|record| (id.clone(), record.clone()))
     }
 
-    fn backend_news(&self, now: u64, id: &BackendId) -> Option<(BackendId, BackendNews)> {
+    fn backend_update(&self, now: u64, id: &BackendId) -> Option<(BackendId, BackendReport)> {
         let record = self.backends.get(id)?;
-        let left = record.gone.map(|gone| gone.saturating_sub(now));
-        Some((id.clone(), BackendNews { life: record.life, left }))
+        let left = record.gone_at_ms.map(|gone_at_ms| gone_at_ms.saturating_sub(now));
+        Some((id.clone(), BackendReport { life: record.life, left }))
     }
 
-    fn heat_box(&mut self, box_id: &BoxId) {
-        let repeats = self.repeats();
-        self.hot_boxes.insert(box_id.clone(), repeats);
+    fn enqueue_box(&mut self, box_id: &BoxId) {
+        let transmissions = self.transmissions();
+        self.pending_boxes.insert(box_id.clone(), transmissions);
     }
 
-    fn repeats(&self) -> u32 {
+    /// How many times an update is sent in a group of the known size.
+    fn transmissions(&self) -> u32 {
         let boxes = self.boxes.len().max(2) as u32;
-        REPEATS * (u32::BITS - boxes.leading_zeros())
+        TRANSMISSIONS_PER_BIT * (u32::BITS - boxes.leading_zeros())
     }
 }
 
-fn cool<K: Ord>(hot: &mut BTreeMap<K, u32>) {
-    hot.retain(|_, repeats| {
-        *repeats = repeats.saturating_sub(1);
-        *repeats > 0
+/// Counts one transmission of each pending update and drops those that have none left.
+fn count_transmission<K: Ord>(pending: &mut BTreeMap<K, u32>) {
+    pending.retain(|_, left| {
+        *left = left.saturating_sub(1);
+        *left > 0
     });
 }
 
-/// A 64-bit fingerprint of a text, the same on every box: FNV-1a with a final mix.
+/// Hashes a text to 64 bits with FNV-1a and a final mixing step. The result is the same on every box.
 pub(crate) fn fingerprint(text: &str) -> u64 {
     let start = 0xcbf2_9ce4_8422_2325_u64;
     let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -32,7 +32,7 @@
 use crate::http::gate::Gate;
 use crate::http::server;
 use crate::ids::{Incarnation, RequestKey, TeamName, Term};
-use crate::member::spread::SpreadMessage;
+use crate::member::spread::GossipMessage;
 use crate::peer::method::{BackendStatus, GroupStatus, NodeStatus};
 use crate::peer::{Peers, server as peer_server};
 use crate::platform::PlatformDialect;
@@ -78,7 +78,7 @@
     pub peer_addr: OnceLock<SocketAddr>,
     started: Instant,
     relay: OnceLock<Arc<Relay>>,
-    spread: OnceLock<ActorRef<SpreadMessage>>,
+    spread: OnceLock<ActorRef<GossipMessage>>,
     lessor: Mutex<Option<(Term, Lessor)>>,
     /// Told when the leader's note of low teams is to be looked at.
     pub(crate) lacking: Notify,
--- a/src/node/news.rs
+++ b/src/node/news.rs
@@ -9,8 +9,8 @@
 
 use super::{ACTOR_TIME, Node};
 use crate::ids::{BackendId, BoxId};
-use crate::member::spread::{Gossip, Spread, SpreadArguments, SpreadMessage};
-use crate::member::table::{BackendNews, BoxRecord, BoxState, News};
+use crate::member::spread::{Gossip, GossipActor, GossipArguments, GossipMessage};
+use crate::member::table::{BackendReport, BoxRecord, BoxState, MembershipUpdates};
 
 impl Node {
     /// Starts the actor that passes news on; the node's addresses are known by then.
@@ -25,23 +25,23 @@
             entry: self.entry_addr.get().copied(),
             state: BoxState::Live,
         };
-        let arguments = SpreadArguments {
+        let arguments = GossipArguments {
             own,
             record,
             seeds: self.settings.replicas.clone(),
             peers: self.peers.clone(),
             board: self.board.clone(),
         };
-        let spawned = Actor::spawn(None, Spread, arguments).await;
+        let spawned = Actor::spawn(None, GossipActor, arguments).await;
         let (actor, _) = spawned.wrap_err("start the spreading of news")?;
         let _ = self.spread.set(actor);
         Ok(())
     }
 
     /// Takes gossip; `None` while the node starts.
-    pub(crate) async fn hear_gossip(&self, gossip: Gossip) -> Option<News> {
+    pub(crate) async fn hear_gossip(&self, gossip: Gossip) -> Option<MembershipUpdates> {
         let actor = self.spread.get()?;
-        let hear = |port| SpreadMessage::Hear(gossip, Some(port));
+        let hear = |port| GossipMessage::Receive(gossip, Some(port));
         match actor.call(hear, Some(ACTOR_TIME)).await {
             Ok(CallResult::Success(news)) => Some(news),
             _ => None,
@@ -49,16 +49,16 @@
     }
 
     /// Takes word of a backend server's coming or going, and has it passed on.
-    pub(crate) fn hear_backend(&self, id: BackendId, news: BackendNews) {
+    pub(crate) fn hear_backend(&self, id: BackendId, news: BackendReport) {
         if let Some(actor) = self.spread.get() {
-            let _ = actor.cast(SpreadMessage::Backend(id, news));
+            let _ = actor.cast(GossipMessage::Backend(id, news));
         }
     }
 
     /// Tells the other boxes that this one drains.
     pub(crate) fn say_leaving(&self) {
         if let Some(actor) = self.spread.get() {
-            let _ = actor.cast(SpreadMessage::Leave);
+            let _ = actor.cast(GossipMessage::Leave);
         }
     }
 
--- a/src/peer/server.rs
+++ b/src/peer/server.rs
@@ -24,7 +24,7 @@
 use crate::group::driver::{GroupMessage, Unanswered};
 use crate::group::message::{Envelope, MemberChange, Members};
 use crate::member::spread::{self, Gossip};
-use crate::member::table::News;
+use crate::member::table::MembershipUpdates;
 use crate::node::Node;
 use crate::peer::packed::Packed;
 use crate::relay::list::{PackedParts, PartId};
@@ -203,7 +203,7 @@
     Ok(Packed(document_source::read_piece(&node, wanted).await))
 }
 
-async fn gossip(node: Arc<Node>, gossip: Gossip) -> Result<News, String> {
+async fn gossip(node: Arc<Node>, gossip: Gossip) -> Result<MembershipUpdates, String> {
     node.hear_gossip(gossip).await.ok_or_else(|| "the node has just started".to_owned())
 }
 
