--- a/tests/suspend.rs
+++ b/tests/suspend.rs
@@ -1,4 +1,4 @@
-//! A machine that is suspended for seconds, while its steady clock stands still.
+//! Suspensions of the machine for seconds, during which the monotonic clock stands still.
 
 #[path = "support/platform.rs"]
 #[allow(dead_code, reason = "each test takes what it needs")]
@@ -6,36 +6,42 @@
 
 use std::time::Duration;
 
-use emberturn::clock::{self, Reading, SuspendWatch};
+use emberturn::clock::{self, ClockReading, SuspendDetector};
 use platform::{Act, StandIn, TestRelay, document, usual_routes};
 
-fn reading(steady: u64, counted: u64, took: u64) -> Reading {
+/// A reading with the clocks in milliseconds; `spread` lies between the two readings of the monotonic clock.
+fn reading(monotonic: u64, boot: u64, spread: u64) -> ClockReading {
     let ms = Duration::from_millis;
-    Reading { before: ms(steady), counted: ms(counted), behind: ms(steady + took) }
+    ClockReading {
+        monotonic_before: ms(monotonic),
+        boot: ms(boot),
+        monotonic_after: ms(monotonic + spread),
+    }
 }
 
 #[test]
-fn suspensions_add_up_and_nothing_else_does() {
-    let mut watch = SuspendWatch::new();
-    // The clocks start apart: what was before this process is not its concern.
-    assert_eq!(watch.look(reading(1_000, 61_000, 0)), 0);
-    assert_eq!(watch.look(reading(2_000, 62_004, 0)), 0);
-    assert_eq!(watch.look(reading(2_100, 67_100, 0)), 5_000);
-    assert_eq!(watch.look(reading(2_200, 67_200, 0)), 5_000);
-    assert_eq!(watch.look(reading(9_000, 75_000, 0)), 6_000);
+fn only_suspensions_add_to_the_suspended_time() {
+    let mut detector = SuspendDetector::new();
+    // The initial offset comes from suspensions before the process started and is not counted.
+    assert_eq!(detector.observe(reading(1_000, 61_000, 0)), 0);
+    assert_eq!(detector.observe(reading(2_000, 62_004, 0)), 0);
+    assert_eq!(detector.observe(reading(2_100, 67_100, 0)), 5_000);
+    assert_eq!(detector.observe(reading(2_200, 67_200, 0)), 5_000);
+    assert_eq!(detector.observe(reading(9_000, 75_000, 0)), 6_000);
 }
 
 #[test]
-fn process_that_stood_still_between_two_readings_was_not_suspended() {
-    let mut watch = SuspendWatch::new();
-    watch.look(reading(1_000, 1_000, 0));
-    assert_eq!(watch.look(reading(2_000, 7_000, 5_000)), 0);
-    assert_eq!(watch.look(reading(7_000, 7_000, 0)), 0);
+fn pause_of_the_process_during_a_reading_is_not_a_suspension() {
+    let mut detector = SuspendDetector::new();
+    detector.observe(reading(1_000, 1_000, 0));
+    assert_eq!(detector.observe(reading(2_000, 7_000, 5_000)), 0);
+    assert_eq!(detector.observe(reading(7_000, 7_000, 0)), 0);
 }
 
-/// The box wakes with routes and keys that were the newest just before, by a clock that stood still.
+/// Guards against serving requests by routes and API keys that expired during a suspension: by the monotonic
+/// clock alone they would still look fresh. The box refuses requests until a new document arrives.
 #[tokio::test]
-async fn box_that_wakes_does_not_run_by_the_keys_of_before() {
+async fn box_does_not_use_expired_api_keys_after_a_suspension() {
     let server = StandIn::start("i-1", &[Act::Answer]).await;
     let relay = TestRelay::start(&[&server]).await;
     assert_eq!(relay.ask("POST", "once").await.status, 200);
