--- a/src/control/rollouts.rs
+++ b/src/control/rollouts.rs
@@ -62,7 +62,7 @@
             }
             OrderReply::Conflict(rollout) => {
                 let text = format!(
-                    "a rollout of {} to {} is already in progress",
+                    "a roll-out of {} to {} is already in progress",
                     rollout.order.service, rollout.order.release,
                 );
                 Err(Failure::new(Kind::InProgress, text))
@@ -80,7 +80,7 @@
 /// [`Kind::NotFound`] if the service has had no rollout, [`Kind::NoGroup`] if the group does not answer.
 pub async fn show(node: &Node, service: &ServiceName) -> Result<Rollout, Failure> {
     let found = read(node).await?.rollouts.get(service).cloned();
-    found.ok_or_else(|| Failure::new(Kind::NotFound, format!("{service} has had no rollout")))
+    found.ok_or_else(|| Failure::new(Kind::NotFound, format!("{service} has had no roll-out")))
 }
 
 /// Rolls the rollout of a service back and returns its new state. A rollout that has ended is left
--- a/src/decide/allowance.rs
+++ b/src/decide/allowance.rs
@@ -30,8 +30,9 @@
 /// so a box with many teams doesn't send one message for each.
 const MAX_PENDING_DEMANDS: usize = 8;
 
-/// How long a lease holds, counted from the report that it answers. An election after the loss of a leader, or of
-/// power everywhere, takes about half of this time, and at its end a box no longer trusts its list of API keys.
+/// How long a box may use the units and the refill rate that a lease gives it for a team, counted from the report
+/// that the lease answers. An election after the loss of a leader, or of power everywhere, takes about half of this
+/// time. When the lease ends without a new one, a box no longer trusts its list of API keys either.
 pub const LEASE_DURATION: Duration = Duration::from_millis(5_900);
 
 /// The longest time for which a box accumulates an unused rate. A new leader doesn't know what boxes have
--- a/src/decide/choose.rs
+++ b/src/decide/choose.rs
@@ -66,13 +66,15 @@
     pub requests: f64,
     /// Number of requests it runs at the same time.
     pub slots: u32,
-    /// Seconds that a request stays at the server; 0 if unknown.
+    /// Estimated mean time in seconds that a request stays at a server, averaged over the compared
+    /// servers for which it is known; 0 if it is known for none.
     pub residence_time: f64,
     /// Prompt tokens that it has to read before those of this request.
     pub queued_prompt_tokens: u64,
     /// Prompt tokens of this request that are not in its cache.
     pub uncached_prompt_tokens: u64,
-    /// Network distance.
+    /// Network distance from this box to the server: the round-trip time, and the cost of the
+    /// transferred bytes as an equivalent wait, both in milliseconds.
     pub distance: Distance,
     /// Whether its memory has no room for this request while another server has.
     pub memory_full: bool,
--- a/src/decide/engine.rs
+++ b/src/decide/engine.rs
@@ -8,8 +8,8 @@
 //! estimated rate is too low but never too high.
 //!
 //! Each relay learns from its own requests. The leader pools the relays' models and distributes the result.
-//! Where each relay has few requests, an own fit would take minutes; a relay without one reports its samples
-//! instead, and the leader learns from those of all such relays together.
+//! Where each relay has few requests, a fit of its own would take minutes; a relay without one reports its
+//! samples instead, and the leader learns from those of all such relays together.
 
 use std::collections::VecDeque;
 
--- a/src/decide/filling.rs
+++ b/src/decide/filling.rs
@@ -8,8 +8,9 @@
 
 use crate::units::Tokens;
 
-/// The fraction of an engine's memory that relays fill together. Load reports are some hundred milliseconds
-/// old, during which as many requests may arrive as have ended.
+/// The fraction of an engine's memory that all relays together may fill. They leave the rest as a margin,
+/// because load reports are some hundred milliseconds old: in that time, as many requests may have arrived
+/// as have ended, and a relay does not know of those that other relays sent.
 const FILL_FRACTION: f64 = 0.9;
 
 /// What occupies an engine's memory, as known to one relay.
--- a/src/decide/slowness.rs
+++ b/src/decide/slowness.rs
@@ -80,8 +80,9 @@
         return None;
     }
     let usual = tolerance(gap);
-    // Neither earlier pauses nor the loss of the answer extend how long an engine may wait, as the engine
-    // aborts any stream that is not read.
+    // An engine waits for the caller while the relay has no buffer memory left to read the engine's stream.
+    // This wait may not be longer for a caller that paused before and continued, or whose answer would be
+    // lost, as the engine aborts any stream that is not read.
     if progress.blocked_time >= usual / MAX_BLOCKED_DIVISOR {
         return Some(Slowness::Holding);
     }
--- a/src/relay/serve.rs
+++ b/src/relay/serve.rs
@@ -45,7 +45,7 @@
 /// Retry-After of a box that is shutting down; callers reach another box.
 const DRAINING_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// How long a call waits for the leader to answer for its team's limit: several round trips to
+/// How long a call waits for the leader's answer about its team's limit: several round trips to
 /// another data centre. Replacing a failed leader takes longer than this.
 const LEADER_REPLY_TIMEOUT: Duration = Duration::from_millis(150);
 
